--- a/crates/controller/src/duties.rs
+++ b/crates/controller/src/duties.rs
@@ -6,7 +6,7 @@
 };
 
 use bluebell_core::{
-    authority::{DutyGrant, DutyKeeper, DutySeat, duty_ranks},
+    authority::{DutyCandidacy, DutyGrant, LeaseManager, duty_ranks},
     clock::TimeSpan,
     records::{DutyName, LeaseAction, LeaseRecord, LogRecord},
 };
@@ -23,7 +23,7 @@
 const LEASE_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
 
 struct DutyState {
-    keeper: DutyKeeper,
+    keeper: LeaseManager,
     busy: BTreeSet<DutyName>,
     held: BTreeSet<DutyName>,
 }
@@ -49,7 +49,7 @@
     ) -> DutyDesk {
         let instance = node.settings().instance.clone();
         let state = DutyState {
-            keeper: DutyKeeper::new(instance, settings.timing()),
+            keeper: LeaseManager::new(instance, settings.timing()),
             busy: BTreeSet::new(),
             held: BTreeSet::new(),
         };
@@ -124,7 +124,7 @@
     fn next_record(&self, duty: &DutyName, rank: usize) -> Option<LeaseRecord> {
         let mut state = self.state.lock().expect("no holder panics");
         let now = self.node.clock().now();
-        let seat = DutySeat {
+        let seat = DutyCandidacy {
             duty: duty.clone(),
             rank,
             busy: state.busy.contains(duty),
--- a/crates/controller/src/members.rs
+++ b/crates/controller/src/members.rs
@@ -75,7 +75,7 @@
             requests: 0,
         };
         for peer in self.peers(InstanceProgram::Entry) {
-            let heard_at = peer.heard_at.filter(|_| !peer.suspected)?;
+            let heard_at = peer.last_seen.filter(|_| !peer.suspected)?;
             work.heard_at = work.heard_at.min(heard_at);
             let loads = peer.status.loads.iter();
             let own = loads.filter(|load| load.endpoint == *endpoint);
--- a/crates/core/src/authority/keeper.rs
+++ b/crates/core/src/authority/lease_manager.rs
@@ -48,7 +48,7 @@
 
 /// A duty and this controller's place among those that could hold it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DutySeat {
+pub struct DutyCandidacy {
     /// The duty.
     pub duty: DutyName,
     /// The place, from 0.
@@ -58,7 +58,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
-struct OwnLease {
+struct LocalLease {
     fence: LogOffset,
     claimed_at: ClockTime,
     sent_at: ClockTime,
@@ -74,22 +74,22 @@
 
 /// The leases of one controller.
 #[derive(Clone, Debug)]
-pub struct DutyKeeper {
-    me: InstanceId,
+pub struct LeaseManager {
+    instance: InstanceId,
     timing: LeaseTiming,
-    own: BTreeMap<DutyName, OwnLease>,
+    local: BTreeMap<DutyName, LocalLease>,
     sent: BTreeMap<DutyName, SentRecord>,
     free_since: BTreeMap<DutyName, ClockTime>,
 }
 
-impl DutyKeeper {
+impl LeaseManager {
     /// A keeper for the controller `me`, which holds nothing yet. What an earlier
     /// process of the same name claimed is not its own.
-    pub fn new(me: InstanceId, timing: LeaseTiming) -> DutyKeeper {
-        DutyKeeper {
-            me,
+    pub fn new(instance: InstanceId, timing: LeaseTiming) -> LeaseManager {
+        LeaseManager {
+            instance,
             timing,
-            own: BTreeMap::new(),
+            local: BTreeMap::new(),
             sent: BTreeMap::new(),
             free_since: BTreeMap::new(),
         }
@@ -103,30 +103,30 @@
         now: ClockTime,
         leases: &LeaseState,
         next: LogOffset,
-        seat: &DutySeat,
+        candidacy: &DutyCandidacy,
     ) -> Option<LeaseRecord> {
-        self.read_back(&seat.duty, leases, next);
-        let held = leases.held(&seat.duty);
+        self.apply_sent_record(&candidacy.duty, leases, next);
+        let held = leases.held(&candidacy.duty);
         if held.is_some() {
-            self.free_since.remove(&seat.duty);
+            self.free_since.remove(&candidacy.duty);
         }
-        if let Some(own) = self.own.get(&seat.duty).copied() {
-            return self.keep_record(now, seat, own);
+        if let Some(local) = self.local.get(&candidacy.duty).copied() {
+            return self.holder_record(now, candidacy, local);
         }
-        if self.sent.contains_key(&seat.duty) {
+        if self.sent.contains_key(&candidacy.duty) {
             return None;
         }
-        self.claim_record(now, held, seat)
+        self.claim_record(now, held, candidacy)
     }
 
     /// Takes over what became of the records sent: only what was read back in the
     /// log as valid extends the authority.
-    fn read_back(&mut self, duty: &DutyName, leases: &LeaseState, next: LogOffset) {
+    fn apply_sent_record(&mut self, duty: &DutyName, leases: &LeaseState, next: LogOffset) {
         let held = leases.held(duty);
-        if let Some(own) = self.own.get(duty)
-            && held.is_none_or(|lease| lease.fence != own.fence)
+        if let Some(local) = self.local.get(duty)
+            && held.is_none_or(|lease| lease.fence != local.fence)
         {
-            self.own.remove(duty);
+            self.local.remove(duty);
         }
         let Some(sent) = self.sent.get(duty).copied() else {
             return;
@@ -138,61 +138,65 @@
         let Some(lease) = held.filter(|lease| lease.latest == sent.offset) else {
             return;
         };
-        let claimed_at = match self.own.get(duty) {
-            Some(own) => own.claimed_at,
+        let claimed_at = match self.local.get(duty) {
+            Some(local) => local.claimed_at,
             None => sent.sent_at,
         };
-        let own = OwnLease {
+        let local = LocalLease {
             fence: lease.fence,
             claimed_at,
             sent_at: sent.sent_at,
             until: sent.sent_at + lease.duration,
-            outranked_since: self.own.get(duty).and_then(|own| own.outranked_since),
+            outranked_since: self.local.get(duty).and_then(|local| local.outranked_since),
         };
-        self.own.insert(duty.clone(), own);
+        self.local.insert(duty.clone(), local);
     }
 
-    fn keep_record(
+    fn holder_record(
         &mut self,
         now: ClockTime,
-        seat: &DutySeat,
-        own: OwnLease,
+        candidacy: &DutyCandidacy,
+        local: LocalLease,
     ) -> Option<LeaseRecord> {
-        let outranked_since = match seat.rank {
+        let outranked_since = match candidacy.rank {
             0 => None,
-            _ => Some(own.outranked_since.unwrap_or(now)),
+            _ => Some(local.outranked_since.unwrap_or(now)),
         };
-        let kept = OwnLease {
+        let kept = LocalLease {
             outranked_since,
-            ..own
+            ..local
         };
-        self.own.insert(seat.duty.clone(), kept);
+        self.local.insert(candidacy.duty.clone(), kept);
         let yields = outranked_since.is_some_and(|since| now >= since + self.timing.handover_after);
-        if yields && !seat.busy {
-            return self.release(&seat.duty);
+        if yields && !candidacy.busy {
+            return self.release(&candidacy.duty);
         }
-        let due = now >= own.sent_at + self.timing.renew_after;
-        if !due || self.sent.contains_key(&seat.duty) {
+        let due = now >= local.sent_at + self.timing.renew_after;
+        if !due || self.sent.contains_key(&candidacy.duty) {
             return None;
         }
-        Some(self.record(&seat.duty, LeaseAction::Renew { fence: own.fence }, None))
+        Some(self.record(
+            &candidacy.duty,
+            LeaseAction::Renew { fence: local.fence },
+            None,
+        ))
     }
 
     fn claim_record(
         &mut self,
         now: ClockTime,
         held: Option<&HeldLease>,
-        seat: &DutySeat,
+        candidacy: &DutyCandidacy,
     ) -> Option<LeaseRecord> {
         let free_at = match held {
             Some(lease) => lease.read_at + lease.duration + self.timing.margin,
-            None => *self.free_since.entry(seat.duty.clone()).or_insert(now),
+            None => *self.free_since.entry(candidacy.duty.clone()).or_insert(now),
         };
-        if now < free_at + self.timing.stagger.times(seat.rank as u64) {
+        if now < free_at + self.timing.stagger.times(candidacy.rank as u64) {
             return None;
         }
         let supersedes = held.map(|lease| lease.latest);
-        Some(self.record(&seat.duty, LeaseAction::Claim, supersedes))
+        Some(self.record(&candidacy.duty, LeaseAction::Claim, supersedes))
     }
 
     fn record(
@@ -203,7 +207,7 @@
     ) -> LeaseRecord {
         LeaseRecord {
             duty: duty.clone(),
-            holder: self.me.clone(),
+            holder: self.instance.clone(),
             action,
             duration: self.timing.duration,
             supersedes,
@@ -220,14 +224,14 @@
     /// Gives a duty up: the authority ends here at once, before the record that
     /// says so is sent.
     pub fn release(&mut self, duty: &DutyName) -> Option<LeaseRecord> {
-        let own = self.own.remove(duty)?;
+        let local = self.local.remove(duty)?;
         self.sent.remove(duty);
-        Some(self.record(duty, LeaseAction::Release { fence: own.fence }, None))
+        Some(self.record(duty, LeaseAction::Release { fence: local.fence }, None))
     }
 
     /// Gives up everything.
     pub fn release_all(&mut self) -> Vec<LeaseRecord> {
-        let duties: Vec<DutyName> = self.own.keys().cloned().collect();
+        let duties: Vec<DutyName> = self.local.keys().cloned().collect();
         duties
             .iter()
             .filter_map(|duty| self.release(duty))
@@ -237,15 +241,15 @@
     /// The authority for `duty` at `now`, if this process has it: the log names
     /// its own claim, and the lease has not run out by its own count.
     pub fn grant(&self, now: ClockTime, leases: &LeaseState, duty: &DutyName) -> Option<DutyGrant> {
-        let own = self.own.get(duty)?;
-        if now >= own.until || !leases.is_current(duty, own.fence) {
+        let local = self.local.get(duty)?;
+        if now >= local.until || !leases.is_current(duty, local.fence) {
             return None;
         }
         Some(DutyGrant {
             duty: duty.clone(),
-            fence: own.fence,
-            claimed_at: own.claimed_at,
-            until: own.until,
+            fence: local.fence,
+            claimed_at: local.claimed_at,
+            until: local.until,
         })
     }
 }
--- a/crates/core/src/authority/mod.rs
+++ b/crates/core/src/authority/mod.rs
@@ -11,16 +11,16 @@
 //! the lease has run out since it read the same record, plus a margin. Spans on
 //! one clock are compared with spans on another, never two times.
 
-mod keeper;
-mod spread;
+mod lease_manager;
+mod ranking;
 
 use std::collections::BTreeMap;
 
 use serde::Serializer;
 
 pub use self::{
-    keeper::{DutyGrant, DutyKeeper, DutySeat, LeaseTiming},
-    spread::{DutyCandidate, duty_ranks},
+    lease_manager::{DutyCandidacy, DutyGrant, LeaseManager, LeaseTiming},
+    ranking::{DutyCandidate, duty_ranks},
 };
 use crate::{
     clock::{ClockTime, TimeSpan},
--- a/crates/core/src/authority/spread.rs
+++ b/crates/core/src/authority/ranking.rs
@@ -27,7 +27,7 @@
 /// the engines when the domain is cut off.
 pub fn duty_ranks(
     duties: &[DutyName],
-    me: &InstanceId,
+    instance: &InstanceId,
     candidates: &[DutyCandidate],
 ) -> BTreeMap<DutyName, usize> {
     let mut duties: Vec<&DutyName> = duties.iter().collect();
@@ -44,7 +44,7 @@
         if let Some(first) = ranked.first() {
             *held.entry(&first.instance).or_default() += 1;
         }
-        let rank = ranked.iter().position(|c| c.instance == *me);
+        let rank = ranked.iter().position(|c| c.instance == *instance);
         ranks.insert(duty.clone(), rank.unwrap_or(ranked.len()));
     }
     ranks
@@ -55,10 +55,10 @@
     candidate: &DutyCandidate,
     has_share: bool,
 ) -> (bool, bool, u64, InstanceId) {
-    let foreign = match duty {
+    let is_other_domain = match duty {
         DutyName::Engines(domain) => *domain != candidate.failure_domain,
         DutyName::Fleet | DutyName::Usage | DutyName::Log => false,
     };
     let hash = xxh3_64(format!("{duty} {}", candidate.instance).as_bytes());
-    (foreign, has_share, hash, candidate.instance.clone())
+    (is_other_domain, has_share, hash, candidate.instance.clone())
 }
--- a/crates/core/src/directory/mod.rs
+++ b/crates/core/src/directory/mod.rs
@@ -56,7 +56,7 @@
 struct KnownEndpoint {
     registration: EndpointRegistration,
     /// Dropped at this time unless it registers again.
-    lapses_at: Option<ClockTime>,
+    expires_at: Option<ClockTime>,
 }
 
 /// All registered endpoints.
@@ -64,13 +64,13 @@
 pub struct EndpointDirectory {
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     /// The shortest outage in which a registration can lapse.
-    shortest_outage: TimeSpan,
+    min_outage: TimeSpan,
     /// When the store last answered, as far as known.
     answered_at: Option<ClockTime>,
     /// The store's last answer before the reads that fail now.
     outage_since: Option<ClockTime>,
     /// The first answer after the last outage in which registrations can have lapsed.
-    returned_at: Option<ClockTime>,
+    recovered_at: Option<ClockTime>,
 }
 
 impl Default for EndpointDirectory {
@@ -84,10 +84,10 @@
     pub fn new() -> EndpointDirectory {
         EndpointDirectory {
             endpoints: BTreeMap::new(),
-            shortest_outage: TimeSpan::ZERO,
+            min_outage: TimeSpan::ZERO,
             answered_at: None,
             outage_since: None,
-            returned_at: None,
+            recovered_at: None,
         }
         .with_heartbeat(DEFAULT_HEARTBEAT)
     }
@@ -96,7 +96,7 @@
     /// may be nearly one interval old as the outage begins.
     pub fn with_heartbeat(mut self, interval: TimeSpan) -> EndpointDirectory {
         let missed = interval.as_millis() * (MISSED_HEARTBEATS - 1);
-        self.shortest_outage = TimeSpan::from_millis(missed);
+        self.min_outage = TimeSpan::from_millis(missed);
         self
     }
 
@@ -108,19 +108,19 @@
 
     /// The store answered a read of the registrations at `at`: one of ours, or one
     /// of the instance that reads for us.
-    pub fn note_return(&mut self, at: ClockTime) {
+    pub fn note_answer(&mut self, at: ClockTime) {
         self.answered_at = self.answered_at.max(Some(at));
         let Some(since) = self.outage_since.take_if(|since| at > *since) else {
             return;
         };
-        if at.since(since) >= self.shortest_outage {
-            self.returned_at = Some(at);
+        if at.since(since) >= self.min_outage {
+            self.recovered_at = Some(at);
         }
     }
 
     /// Until when a registration that goes may have lapsed in an outage.
     fn grace_end(&self, now: ClockTime) -> Option<ClockTime> {
-        let end = self.returned_at? + LAPSE_GRACE;
+        let end = self.recovered_at? + LAPSE_GRACE;
         (now < end).then_some(end)
     }
 
@@ -133,7 +133,7 @@
             Some(known) if known.registration.start != registration.start => {
                 DirectoryChange::Started
             }
-            Some(known) if known.registration.same_apart_from_sequence(&registration) => {
+            Some(known) if known.registration.same_except_heartbeat(&registration) => {
                 DirectoryChange::Same
             }
             Some(known) if registration.is_leaving && !known.registration.is_leaving => {
@@ -143,7 +143,7 @@
         };
         let known = KnownEndpoint {
             registration,
-            lapses_at: None,
+            expires_at: None,
         };
         self.endpoints.insert(id, known);
         change
@@ -152,18 +152,18 @@
     /// The registration of `id` is gone from the store.
     pub fn unregister(&mut self, now: ClockTime, id: &EndpointId) -> DirectoryChange {
         let end = self.grace_end(now);
-        self.end_at(id, end)
+        self.end_registration(id, end)
     }
 
     /// Drops `id` at `end`, or at once if there is none or it had said that it leaves.
-    fn end_at(&mut self, id: &EndpointId, end: Option<ClockTime>) -> DirectoryChange {
+    fn end_registration(&mut self, id: &EndpointId, end: Option<ClockTime>) -> DirectoryChange {
         let Some(known) = self.endpoints.get_mut(id) else {
             return DirectoryChange::Same;
         };
         match end {
-            Some(_) if known.lapses_at.is_some() => DirectoryChange::Same,
+            Some(_) if known.expires_at.is_some() => DirectoryChange::Same,
             Some(end) if !known.registration.is_leaving => {
-                known.lapses_at = Some(end);
+                known.expires_at = Some(end);
                 DirectoryChange::Lapsed
             }
             _ => {
@@ -183,13 +183,13 @@
         kept_for: TimeSpan,
     ) -> DirectoryChange {
         let end = self.grace_end(now).map(|end| end.min(now + kept_for));
-        self.end_at(id, end)
+        self.end_registration(id, end)
     }
 
     /// For how much longer a lapsed registration is kept.
-    pub fn kept_for(&self, now: ClockTime, id: &EndpointId) -> Option<TimeSpan> {
-        let lapses_at = self.endpoints.get(id)?.lapses_at?;
-        Some(lapses_at.since(now))
+    pub fn remaining_grace(&self, now: ClockTime, id: &EndpointId) -> Option<TimeSpan> {
+        let expires_at = self.endpoints.get(id)?.expires_at?;
+        Some(expires_at.since(now))
     }
 
     /// A number that differs where two pictures of the endpoints differ in
@@ -199,7 +199,7 @@
         let present = self
             .endpoints
             .values()
-            .filter(|known| known.lapses_at.is_none());
+            .filter(|known| known.expires_at.is_none());
         for known in present {
             let entry = &known.registration;
             hasher.update(entry.id.as_str().as_bytes());
@@ -218,7 +218,7 @@
 
     /// Keeps what is listed and treats the others as unregistered: the listing
     /// stands for everything in the store.
-    pub fn keep_only<Listed>(&mut self, now: ClockTime, listed: Listed) -> Vec<EndpointId>
+    pub fn retain_listed<Listed>(&mut self, now: ClockTime, listed: Listed) -> Vec<EndpointId>
     where
         Listed: Fn(&EndpointId) -> bool,
     {
@@ -231,13 +231,13 @@
     }
 
     /// The endpoint answered under another name: whoever had the address is gone.
-    pub fn drop_endpoint(&mut self, id: &EndpointId) {
+    pub fn remove_endpoint(&mut self, id: &EndpointId) {
         self.endpoints.remove(id);
     }
 
     /// Drops what lapsed and did not register again; answers their ids.
-    pub fn advance(&mut self, now: ClockTime) -> Vec<EndpointId> {
-        let lapsed = |known: &KnownEndpoint| known.lapses_at.is_some_and(|at| now >= at);
+    pub fn remove_expired(&mut self, now: ClockTime) -> Vec<EndpointId> {
+        let lapsed = |known: &KnownEndpoint| known.expires_at.is_some_and(|at| now >= at);
         let ids = self.endpoints.iter().filter(|(_, known)| lapsed(known));
         let ids: Vec<EndpointId> = ids.map(|(id, _)| id.clone()).collect();
         for id in &ids {
@@ -252,7 +252,7 @@
     }
 
     /// The endpoints of a service that may get new work.
-    pub fn open_for<'a>(
+    pub fn available_for<'a>(
         &'a self,
         service: &'a ServiceName,
     ) -> impl Iterator<Item = &'a EndpointRegistration> {
--- a/crates/core/src/directory/registration.rs
+++ b/crates/core/src/directory/registration.rs
@@ -50,7 +50,7 @@
 
 impl EndpointRegistration {
     /// Whether `other` says the same, but for the heartbeat's number.
-    pub fn same_apart_from_sequence(&self, other: &EndpointRegistration) -> bool {
+    pub fn same_except_heartbeat(&self, other: &EndpointRegistration) -> bool {
         let other = EndpointRegistration {
             sequence: self.sequence,
             warming: self.warming,
--- a/crates/core/src/ingress/configuration.rs
+++ b/crates/core/src/ingress/configuration.rs
@@ -89,7 +89,8 @@
     /// The bandwidth between engines in bytes a millisecond.
     pub link_bytes_per_ms: u64,
     /// How long a prefilled prompt is kept for a hand-over.
-    pub handle_life: TimeSpan,
+    #[serde(rename = "handle_life")]
+    pub handle_lifetime: TimeSpan,
     /// How long an engine is away when it changes its stage.
     pub stage_switch: TimeSpan,
 }
@@ -97,7 +98,7 @@
 impl EngineRule {
     /// The share of an engine that a request of `tokens` takes while it runs: of its
     /// slots or of its memory, whichever is more.
-    pub fn run_share(&self, tokens: TokenCount) -> f64 {
+    pub fn capacity_share(&self, tokens: TokenCount) -> f64 {
         let of_memory = tokens.count() as f64 / self.memory.count().max(1) as f64;
         let of_slots = 1.0 / f64::from(self.slots.max(1));
         of_memory.max(of_slots)
@@ -108,11 +109,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ScalingRule {
     /// The fewest in a failure domain, of both kinds together.
-    pub least: u32,
+    #[serde(rename = "least")]
+    pub min_endpoints: u32,
     /// The most in a failure domain, of both kinds together.
-    pub most: u32,
+    #[serde(rename = "most")]
+    pub max_endpoints: u32,
     /// How long a new one takes to serve.
-    pub boot: TimeSpan,
+    #[serde(rename = "boot")]
+    pub startup_time: TimeSpan,
     /// The price of a preemptible endpoint, relative to the others.
     pub preemptible_price: Option<f64>,
     /// Prices relative to each other, by failure domain.
--- a/crates/core/src/ingress/mod.rs
+++ b/crates/core/src/ingress/mod.rs
@@ -6,15 +6,15 @@
 //! come back in, and it knows the age of its belief: a key that was withdrawn
 //! while the store was out of reach must stop working all the same.
 
-mod belief;
 mod configuration;
 mod routes;
+mod tracker;
 
 pub use self::{
-    belief::{AcceptedVersion, ConfigurationBelief},
     configuration::{
         CallerLimits, EngineRule, IngressConfiguration, OrganisationRule, RouteKind, RouteRule,
         ScalingRule, ServiceRule, WeightedService,
     },
     routes::RouteTable,
+    tracker::{ConfigurationTracker, OfferOutcome},
 };
--- a/crates/core/src/ingress/belief.rs
+++ b/crates/core/src/ingress/tracker.rs
@@ -9,7 +9,7 @@
 
 /// What became of a configuration that was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AcceptedVersion {
+pub enum OfferOutcome {
     /// It is newer and now in force.
     Newer,
     /// It is the one in force.
@@ -23,17 +23,17 @@
 /// Times are of a clock that goes on while the process is suspended: an instance
 /// that wakes after some seconds must not take its old keys for fresh.
 #[derive(Clone, Debug, Default)]
-pub struct ConfigurationBelief {
+pub struct ConfigurationTracker {
     table: Option<Arc<RouteTable>>,
-    fresh_at: Option<ClockTime>,
+    confirmed_at: Option<ClockTime>,
     /// Newer versions that others advertised, each with the time of the first advert.
-    awaited: Vec<(u64, ClockTime)>,
+    newer_versions: Vec<(u64, ClockTime)>,
 }
 
-impl ConfigurationBelief {
+impl ConfigurationTracker {
     /// Nothing read yet.
-    pub fn new() -> ConfigurationBelief {
-        ConfigurationBelief::default()
+    pub fn new() -> ConfigurationTracker {
+        ConfigurationTracker::default()
     }
 
     /// Takes a configuration that was read.
@@ -41,24 +41,24 @@
     /// Reads overtake each other and a peer may be behind. Were an older version
     /// put in force again, a withdrawn key would work again and requests would
     /// run at a service that their route has left; so versions only rise.
-    pub fn offer(&mut self, configuration: IngressConfiguration) -> AcceptedVersion {
+    pub fn offer(&mut self, configuration: IngressConfiguration) -> OfferOutcome {
         match self.version() {
-            Some(version) if configuration.version == version => AcceptedVersion::Same,
-            Some(version) if configuration.version < version => AcceptedVersion::Older,
+            Some(version) if configuration.version == version => OfferOutcome::Same,
+            Some(version) if configuration.version < version => OfferOutcome::Older,
             _ => {
-                self.awaited
-                    .retain(|(awaited, _)| *awaited > configuration.version);
+                self.newer_versions
+                    .retain(|(newer, _)| *newer > configuration.version);
                 self.table = Some(Arc::new(RouteTable::new(configuration)));
-                AcceptedVersion::Newer
+                OfferOutcome::Newer
             }
         }
     }
 
     /// Another instance advertises that it has `version` in force.
     pub fn note_advertised(&mut self, now: ClockTime, version: u64) {
-        let newest = self.awaited.last().map(|(newest, _)| *newest);
+        let newest = self.newer_versions.last().map(|(newest, _)| *newest);
         if newest.max(self.version()) < Some(version) {
-            self.awaited.push((version, now));
+            self.newer_versions.push((version, now));
         }
     }
 
@@ -66,14 +66,14 @@
     /// What it allows, such as a key or a service that a route has left, may then be
     /// against what the operator was promised.
     pub fn is_outdated(&self, now: ClockTime, limit: TimeSpan) -> bool {
-        let first = self.awaited.first();
-        first.is_some_and(|(_, heard)| now.since(*heard) >= limit)
+        let first = self.newer_versions.first();
+        first.is_some_and(|(_, advertised_at)| now.since(*advertised_at) >= limit)
     }
 
     /// A read that was sent at `sent` came back complete and has been applied:
     /// whatever stood in the store at that moment is known here.
     pub fn confirm(&mut self, sent: ClockTime) {
-        self.fresh_at = self.fresh_at.max(Some(sent));
+        self.confirmed_at = self.confirmed_at.max(Some(sent));
     }
 
     /// The table in force.
@@ -89,7 +89,8 @@
 
     /// How old the newest confirmation is; nothing if there was none.
     pub fn age(&self, now: ClockTime) -> Option<TimeSpan> {
-        self.fresh_at.map(|fresh_at| now.since(fresh_at))
+        self.confirmed_at
+            .map(|confirmed_at| now.since(confirmed_at))
     }
 
     /// Whether keys may be trusted: the newest confirmation is younger than `limit`.
--- a/crates/core/src/stewardship/mod.rs
+++ b/crates/core/src/leadership/mod.rs
@@ -24,36 +24,36 @@
 
 /// How long after its append was sent a steward may act. An append takes 4 ms,
 /// and 0.2 s while the store is slow; the call itself may take some time too.
-pub const ACT_WITHIN: TimeSpan = TimeSpan::from_millis(1_000);
+pub const ACTION_WINDOW: TimeSpan = TimeSpan::from_millis(1_000);
 
 /// How long an act may be on its way: connections take a second if their opening
 /// packet is lost.
-const ACT_TRAVEL: TimeSpan = TimeSpan::from_millis(800);
+const MAX_ACTION_DELAY: TimeSpan = TimeSpan::from_millis(800);
 
 /// How often a steward appends at least, so that the others know that it is there.
-pub const STEWARD_BEAT: TimeSpan = TimeSpan::from_millis(4_000);
+pub const LEADER_HEARTBEAT_INTERVAL: TimeSpan = TimeSpan::from_millis(4_000);
 
 /// How late a beat may be before the steward is taken to be gone.
-const BEAT_SLACK: TimeSpan = TimeSpan::from_millis(1_500);
+const HEARTBEAT_SLACK: TimeSpan = TimeSpan::from_millis(1_500);
 
 /// How much longer each next candidate waits, so that they don't all append.
-const CANDIDATE_STEP: TimeSpan = TimeSpan::from_millis(150);
+const CANDIDATE_DELAY_STEP: TimeSpan = TimeSpan::from_millis(150);
 
 /// How many steps the candidates are spread over.
-const CANDIDATE_STEPS: u64 = 8;
+const CANDIDATE_DELAY_STEPS: u64 = 8;
 
 /// The right to act, until it runs out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StewardGrant {
+pub struct LeaderGrant {
     /// The fencing number.
     pub fence: LogOffset,
     sent: ClockTime,
 }
 
-impl StewardGrant {
+impl LeaderGrant {
     /// Whether the act may still be begun.
     pub fn allows(&self, now: ClockTime) -> bool {
-        now.since(self.sent) <= ACT_WITHIN
+        now.since(self.sent) <= ACTION_WINDOW
     }
 }
 
@@ -67,19 +67,19 @@
 
 /// What one process knows of the steward.
 #[derive(Clone, Debug)]
-pub struct StewardSeat {
-    own: MeterWriter,
+pub struct LeadershipState {
+    local: MeterWriter,
     lease: TimeSpan,
     started_at: ClockTime,
     last: Option<LastRecord>,
     end: Option<LogOffset>,
 }
 
-impl StewardSeat {
+impl LeadershipState {
     /// Nothing read yet by this process, which started at `now`.
-    pub fn new(now: ClockTime, own: MeterWriter, lease: TimeSpan) -> StewardSeat {
-        StewardSeat {
-            own,
+    pub fn new(now: ClockTime, local: MeterWriter, lease: TimeSpan) -> LeadershipState {
+        LeadershipState {
+            local,
             lease,
             started_at: now,
             last: None,
@@ -111,14 +111,14 @@
     }
 
     /// Whether this process appended last.
-    pub fn is_steward(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.last
             .as_ref()
-            .is_some_and(|last| last.writer == self.own)
+            .is_some_and(|last| last.writer == self.local)
     }
 
     /// Who appended last.
-    pub fn steward(&self) -> Option<&InstanceId> {
+    pub fn leader(&self) -> Option<&InstanceId> {
         self.last.as_ref().map(|last| &last.writer.instance)
     }
 
@@ -127,38 +127,38 @@
     pub fn may_append(&self, now: ClockTime) -> bool {
         let Some(_) = self.end else { return false };
         let Some(last) = &self.last else {
-            return now.since(self.started_at) >= self.step();
+            return now.since(self.started_at) >= self.candidate_delay();
         };
-        last.writer == self.own || now.since(last.read_at) >= self.patience()
+        last.writer == self.local || now.since(last.read_at) >= self.takeover_timeout()
     }
 
     /// The append that was sent at `sent` stands at `offset`.
-    pub fn appended(&mut self, now: ClockTime, sent: ClockTime, offset: LogOffset) -> StewardGrant {
-        self.note_record(now, offset, self.own.clone());
-        StewardGrant {
+    pub fn appended(&mut self, now: ClockTime, sent: ClockTime, offset: LogOffset) -> LeaderGrant {
+        self.note_record(now, offset, self.local.clone());
+        LeaderGrant {
             fence: offset,
             sent,
         }
     }
 
     /// How much longer this process waits before it takes over.
-    pub fn patience_left(&self, now: ClockTime) -> TimeSpan {
+    pub fn takeover_wait(&self, now: ClockTime) -> TimeSpan {
         let silent = self.last.as_ref().map(|last| now.since(last.read_at));
         let slack = TimeSpan::from_millis(10);
         silent.map_or(TimeSpan::ZERO, |silent| {
-            self.patience().less(silent) + slack
+            self.takeover_timeout().less(silent) + slack
         })
     }
 
     /// How long the steward may be silent before this process takes over.
-    pub fn patience(&self) -> TimeSpan {
-        let acts_over = self.lease + ACT_WITHIN + ACT_TRAVEL;
-        acts_over.max(STEWARD_BEAT + BEAT_SLACK) + self.step()
+    pub fn takeover_timeout(&self) -> TimeSpan {
+        let acts_over = self.lease + ACTION_WINDOW + MAX_ACTION_DELAY;
+        acts_over.max(LEADER_HEARTBEAT_INTERVAL + HEARTBEAT_SLACK) + self.candidate_delay()
     }
 
-    fn step(&self) -> TimeSpan {
-        let name = self.own.instance.as_str().as_bytes();
-        let place = xxhash_rust::xxh3::xxh3_64(name) % CANDIDATE_STEPS;
-        CANDIDATE_STEP.times(place)
+    fn candidate_delay(&self) -> TimeSpan {
+        let name = self.local.instance.as_str().as_bytes();
+        let place = xxhash_rust::xxh3::xxh3_64(name) % CANDIDATE_DELAY_STEPS;
+        CANDIDATE_DELAY_STEP.times(place)
     }
 }
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -16,13 +16,13 @@
     membership::{
         EndpointLoad, InstanceListing, InstanceProgram, InstanceState, LocalStatus,
         OrganisationShare,
-        lanes::{KIND_COUNT, NewsKind, NewsLanes, lane_of},
+        update_queues::{KIND_COUNT, UpdateKind, UpdateQueues, queue_index},
     },
     units::{TokenCount, WorkCost},
 };
 
 /// The most endpoints, and the most organisations, that one instance tells of.
-pub const OWN_ITEM_LIMIT: usize = 64;
+pub const LOCAL_ITEM_LIMIT: usize = 64;
 
 /// Bytes of an item besides its names: versions, numbers and field tags.
 const ITEM_OVERHEAD: usize = 24;
@@ -102,11 +102,11 @@
 }
 
 impl ItemKey {
-    fn kind(&self) -> NewsKind {
+    fn kind(&self) -> UpdateKind {
         match self {
-            ItemKey::Presence => NewsKind::Presence,
-            ItemKey::Progress => NewsKind::Progress,
-            ItemKey::Load(_) | ItemKey::Share(_) => NewsKind::Work,
+            ItemKey::Presence => UpdateKind::Presence,
+            ItemKey::Progress => UpdateKind::Progress,
+            ItemKey::Load(_) | ItemKey::Share(_) => UpdateKind::Work,
         }
     }
 }
@@ -128,14 +128,14 @@
 pub(super) type MemberKey = (InstanceId, ItemKey);
 
 #[derive(Clone, Debug, Default)]
-struct LinkMemory {
-    sent: SentStamps,
-    lanes: NewsLanes,
+struct LinkState {
+    sent: SentVersions,
+    queues: UpdateQueues,
 }
 
-type SentStamps = BTreeMap<MemberKey, (u64, u64)>;
+type SentVersions = BTreeMap<MemberKey, (u64, u64)>;
 
-fn is_unsent(sent: &SentStamps, key: &MemberKey, item: &GossipItem) -> bool {
+fn is_unsent(sent: &SentVersions, key: &MemberKey, item: &GossipItem) -> bool {
     let stamp = (item.incarnation, item.version);
     sent.get(key).is_none_or(|sent| *sent < stamp)
 }
@@ -143,19 +143,19 @@
 /// All statements that an instance knows, and what it has sent to whom.
 #[derive(Clone, Debug)]
 pub struct GossipTable {
-    own: InstanceId,
+    local: InstanceId,
     incarnation: u64,
     version: u64,
     items: BTreeMap<MemberKey, GossipItem>,
     changes: [u64; KIND_COUNT],
-    links: BTreeMap<InstanceId, LinkMemory>,
+    links: BTreeMap<InstanceId, LinkState>,
 }
 
 impl GossipTable {
     /// A table that knows nothing.
-    pub fn new(own: InstanceId, incarnation: u64) -> GossipTable {
+    pub fn new(local: InstanceId, incarnation: u64) -> GossipTable {
         GossipTable {
-            own,
+            local,
             incarnation,
             version: 0,
             items: BTreeMap::new(),
@@ -165,29 +165,29 @@
     }
 
     /// Sets what this instance tells of itself; only what changed counts as news.
-    pub fn set_own(&mut self, presence: MemberPresence, next: LogOffset, status: &LocalStatus) {
+    pub fn set_local(&mut self, presence: MemberPresence, next: LogOffset, status: &LocalStatus) {
         self.version += 1;
-        self.put_own(GossipBody::Presence(presence));
-        self.put_own(GossipBody::Progress(next));
+        self.put_local(GossipBody::Presence(presence));
+        self.put_local(GossipBody::Progress(next));
         let mut loads = status.loads.clone();
         loads.sort_by_key(|load| std::cmp::Reverse(load.requests));
-        loads.truncate(OWN_ITEM_LIMIT);
-        self.clear_ended(&loads);
+        loads.truncate(LOCAL_ITEM_LIMIT);
+        self.put_ended_loads(&loads);
         for load in loads {
-            self.put_own(GossipBody::Load(load));
+            self.put_local(GossipBody::Load(load));
         }
         let mut shares = status.shares.clone();
         shares.sort_by_key(|share| std::cmp::Reverse(share.cost));
-        shares.truncate(OWN_ITEM_LIMIT);
+        shares.truncate(LOCAL_ITEM_LIMIT);
         for share in shares {
-            self.put_own(GossipBody::Share(share));
+            self.put_local(GossipBody::Share(share));
         }
     }
 
     /// Tells that work at endpoints which are no longer named has ended.
-    fn clear_ended(&mut self, loads: &[EndpointLoad]) {
+    fn put_ended_loads(&mut self, loads: &[EndpointLoad]) {
         let ended: Vec<EndpointId> = self
-            .member_items(&self.own)
+            .member_items(&self.local)
             .filter_map(|item| match &item.body {
                 GossipBody::Load(load) if load.requests > 0 => Some(load.endpoint.clone()),
                 _ => None,
@@ -195,7 +195,7 @@
             .filter(|endpoint| loads.iter().all(|load| load.endpoint != *endpoint))
             .collect();
         for endpoint in ended {
-            self.put_own(GossipBody::Load(EndpointLoad {
+            self.put_local(GossipBody::Load(EndpointLoad {
                 endpoint,
                 requests: 0,
                 tokens: TokenCount::ZERO,
@@ -203,13 +203,13 @@
         }
     }
 
-    fn put_own(&mut self, body: GossipBody) {
-        let key = (self.own.clone(), ItemKey::new(&body));
+    fn put_local(&mut self, body: GossipBody) {
+        let key = (self.local.clone(), ItemKey::new(&body));
         if self.items.get(&key).is_some_and(|item| item.body == body) {
             return;
         }
         let item = GossipItem {
-            member: self.own.clone(),
+            member: self.local.clone(),
             incarnation: self.incarnation,
             version: self.version,
             body,
@@ -223,18 +223,18 @@
     }
 
     /// Takes an item that came over `link`; answers whether it is news.
-    pub fn take(&mut self, link: &InstanceId, item: &GossipItem) -> bool {
+    pub fn merge(&mut self, link: &InstanceId, item: &GossipItem) -> bool {
         let key = (item.member.clone(), ItemKey::new(&item.body));
         let stamp = (item.incarnation, item.version);
-        let memory = self.links.entry(link.clone()).or_default();
-        memory.sent.insert(key.clone(), stamp);
+        let link_state = self.links.entry(link.clone()).or_default();
+        link_state.sent.insert(key.clone(), stamp);
         let newest = self
             .member_items(&item.member)
             .map(|item| item.incarnation)
             .max();
         match newest {
             Some(newest) if newest > item.incarnation => return false,
-            Some(newest) if newest < item.incarnation => self.forget(&item.member),
+            Some(newest) if newest < item.incarnation => self.remove_member(&item.member),
             _ => {}
         }
         let known = self.items.get(&key);
@@ -246,10 +246,10 @@
     }
 
     /// Forgets all that is known of `member`.
-    pub fn forget(&mut self, member: &InstanceId) {
+    pub fn remove_member(&mut self, member: &InstanceId) {
         self.items.retain(|(of, _), _| of != member);
-        for memory in self.links.values_mut() {
-            memory.sent.retain(|(of, _), _| of != member);
+        for link_state in self.links.values_mut() {
+            link_state.sent.retain(|(of, _), _| of != member);
         }
     }
 
@@ -259,15 +259,15 @@
     }
 
     /// What to send over `link` now, in about `budget` bytes.
-    pub fn beat(&mut self, link: &InstanceId, budget: usize) -> Vec<GossipItem> {
-        let mut memory = self.links.remove(link).unwrap_or_default();
-        self.fill(link, &mut memory);
+    pub fn heartbeat_items(&mut self, link: &InstanceId, budget: usize) -> Vec<GossipItem> {
+        let mut link_state = self.links.remove(link).unwrap_or_default();
+        self.fill(link, &mut link_state);
         let mut left = budget;
         let mut chosen: Vec<GossipItem> = Vec::new();
-        while let Some((lane, key)) = memory.lanes.peek() {
+        while let Some((queue, key)) = link_state.queues.peek() {
             let item = self.items.get(key);
-            let Some(item) = item.filter(|item| is_unsent(&memory.sent, key, item)) else {
-                memory.lanes.pop(lane, false);
+            let Some(item) = item.filter(|item| is_unsent(&link_state.sent, key, item)) else {
+                link_state.queues.pop(queue, false);
                 continue;
             };
             let bytes = item_bytes(item);
@@ -276,49 +276,51 @@
             }
             left = left.saturating_sub(bytes);
             let stamp = (item.incarnation, item.version);
-            memory.sent.insert(key.clone(), stamp);
-            memory.lanes.pop(lane, true);
+            link_state.sent.insert(key.clone(), stamp);
+            link_state.queues.pop(queue, true);
             chosen.push(item.clone());
         }
-        self.links.insert(link.clone(), memory);
+        self.links.insert(link.clone(), link_state);
         chosen
     }
 
     /// Fills the lanes that have run empty with what is unsent, own statements
     /// first.
-    fn fill(&self, link: &InstanceId, memory: &mut LinkMemory) {
-        let LinkMemory { sent, lanes } = memory;
+    fn fill(&self, link: &InstanceId, link_state: &mut LinkState) {
+        let LinkState { sent, queues } = link_state;
         let is_unsent = |key: &MemberKey| {
             let item = self.items.get(key);
             item.is_some_and(|item| is_unsent(sent, key, item))
         };
-        let open = lanes.open(self.changes, is_unsent);
+        let open = queues.open(self.changes, is_unsent);
         if open.iter().all(|open| !open) {
             return;
         }
-        let domain = self.presence(&self.own).map(|own| &own.failure_domain);
-        let own = self.member_items(&self.own);
-        let own = own.map(|item| (item.member.clone(), ItemKey::new(&item.body)));
-        for key in own {
-            let lane = lane_of(key.1.kind(), true);
-            if open[lane] && is_unsent(&key) {
-                lanes.push(lane, key);
+        let domain = self
+            .presence(&self.local)
+            .map(|local| &local.failure_domain);
+        let local = self.member_items(&self.local);
+        let local = local.map(|item| (item.member.clone(), ItemKey::new(&item.body)));
+        for key in local {
+            let queue = queue_index(key.1.kind(), true);
+            if open[queue] && is_unsent(&key) {
+                queues.push(queue, key);
             }
         }
         let mut member = None;
-        let mut is_near = false;
+        let mut is_same_domain = false;
         for key in self.items.keys() {
-            if key.0 == self.own || key.0 == *link {
+            if key.0 == self.local || key.0 == *link {
                 continue;
             }
             if member != Some(&key.0) {
                 let presence = self.presence(&key.0);
-                is_near = presence.map(|presence| &presence.failure_domain) == domain;
+                is_same_domain = presence.map(|presence| &presence.failure_domain) == domain;
                 member = Some(&key.0);
             }
-            let lane = lane_of(key.1.kind(), is_near);
-            if open[lane] && is_unsent(key) {
-                lanes.push(lane, key.clone());
+            let queue = queue_index(key.1.kind(), is_same_domain);
+            if open[queue] && is_unsent(key) {
+                queues.push(queue, key.clone());
             }
         }
     }
--- a/crates/core/src/membership/links.rs
+++ b/crates/core/src/membership/links.rs
@@ -22,7 +22,7 @@
 const MIN_READERS: usize = 2;
 
 /// Connections between each two failure domains.
-const LINKS_BETWEEN: usize = 2;
+const CROSS_DOMAIN_LINKS: usize = 2;
 
 /// A member as the plan needs to know it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LinkPlan {
     /// Whether it reads the log from the platform.
-    pub reads: bool,
+    pub is_reader: bool,
     /// The readers of its failure domain that it takes the log from, best first.
     pub readers: Vec<InstanceId>,
     /// Whom it is connected to.
@@ -47,29 +47,34 @@
 impl LinkPlan {
     /// The plan for `own` among `members` that are neither suspected nor
     /// leaving; `own` is added if it is missing.
-    pub fn new(own: &PlanMember, members: &[PlanMember]) -> LinkPlan {
+    pub fn new(local: &PlanMember, members: &[PlanMember]) -> LinkPlan {
         let mut domains: BTreeMap<&FailureDomain, Vec<&InstanceId>> = BTreeMap::new();
-        let all: BTreeSet<&PlanMember> = members.iter().chain([own]).collect();
+        let all: BTreeSet<&PlanMember> = members.iter().chain([local]).collect();
         for member in all {
             let domain = domains.entry(&member.failure_domain).or_default();
             domain.push(&member.instance);
         }
         let mut plan = LinkPlan::default();
-        plan.join_domain(own, &domains[&own.failure_domain]);
+        plan.add_domain_links(local, &domains[&local.failure_domain]);
         for (domain, instances) in &domains {
-            if **domain != own.failure_domain {
-                plan.join_across(own, &domains[&own.failure_domain], domain, instances);
+            if **domain != local.failure_domain {
+                plan.add_cross_domain_links(
+                    local,
+                    &domains[&local.failure_domain],
+                    domain,
+                    instances,
+                );
             }
         }
         plan
     }
 
-    fn join_domain(&mut self, own: &PlanMember, instances: &[&InstanceId]) {
+    fn add_domain_links(&mut self, local: &PlanMember, instances: &[&InstanceId]) {
         let count = MIN_READERS.max(instances.len().div_ceil(FOLLOWERS_PER_READER));
-        let readers = best(instances, own.failure_domain.as_str(), count);
-        self.reads = readers.contains(&&own.instance);
-        let others = |instance: &&&InstanceId| ***instance != own.instance;
-        self.readers = best(&readers, own.instance.as_str(), MIN_READERS + 1)
+        let readers = highest_ranked(instances, local.failure_domain.as_str(), count);
+        self.is_reader = readers.contains(&&local.instance);
+        let others = |instance: &&&InstanceId| ***instance != local.instance;
+        self.readers = highest_ranked(&readers, local.instance.as_str(), MIN_READERS + 1)
             .iter()
             .filter(others)
             .take(MIN_READERS)
@@ -80,41 +85,47 @@
             self.neighbours.extend(all);
             return;
         }
-        if !self.reads {
+        if !self.is_reader {
             self.neighbours.extend(self.readers.iter().cloned());
             return;
         }
-        let fellows = readers.iter().filter(others).map(|i| (*i).clone());
-        self.neighbours.extend(fellows);
+        let other_readers = readers.iter().filter(others).map(|i| (*i).clone());
+        self.neighbours.extend(other_readers);
         let followers = instances.iter().filter(|instance| {
             !readers.contains(instance)
-                && best(&readers, instance.as_str(), MIN_READERS).contains(&&own.instance)
+                && highest_ranked(&readers, instance.as_str(), MIN_READERS)
+                    .contains(&&local.instance)
         });
         self.neighbours.extend(followers.map(|i| (*i).clone()));
     }
 
-    fn join_across(
+    fn add_cross_domain_links(
         &mut self,
-        own: &PlanMember,
-        ours: &[&InstanceId],
+        local: &PlanMember,
+        local_instances: &[&InstanceId],
         domain: &FailureDomain,
-        theirs: &[&InstanceId],
+        remote_instances: &[&InstanceId],
     ) {
-        let mut pair = [own.failure_domain.as_str(), domain.as_str()];
+        let mut pair = [local.failure_domain.as_str(), domain.as_str()];
         pair.sort_unstable();
         let salt = pair.join("|");
-        let ours = best(ours, &salt, LINKS_BETWEEN);
-        let theirs = best(theirs, &salt, LINKS_BETWEEN);
-        for rank in 0..ours.len().max(theirs.len()) {
-            if *ours[rank % ours.len()] == own.instance {
-                self.neighbours.insert(theirs[rank % theirs.len()].clone());
+        let local_instances = highest_ranked(local_instances, &salt, CROSS_DOMAIN_LINKS);
+        let remote_instances = highest_ranked(remote_instances, &salt, CROSS_DOMAIN_LINKS);
+        for rank in 0..local_instances.len().max(remote_instances.len()) {
+            if *local_instances[rank % local_instances.len()] == local.instance {
+                self.neighbours
+                    .insert(remote_instances[rank % remote_instances.len()].clone());
             }
         }
     }
 }
 
 /// The `count` instances with the greatest hash together with `salt`.
-fn best<'a>(instances: &[&'a InstanceId], salt: &str, count: usize) -> Vec<&'a InstanceId> {
+fn highest_ranked<'a>(
+    instances: &[&'a InstanceId],
+    salt: &str,
+    count: usize,
+) -> Vec<&'a InstanceId> {
     let mut ranked: Vec<(u64, &InstanceId)> = instances
         .iter()
         .map(|instance| (xxh3_64(format!("{salt}|{instance}").as_bytes()), *instance))
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -8,16 +8,18 @@
 
 mod freshness;
 mod gossip;
-mod lanes;
 mod links;
 mod status;
 mod table;
+mod update_queues;
 
-pub use freshness::{EndConfirmation, LogKnowledge};
-pub use gossip::{GossipBody, GossipItem, GossipTable, MemberPresence, OWN_ITEM_LIMIT};
+pub use freshness::{LogEndConfirmation, LogFreshness};
+pub use gossip::{GossipBody, GossipItem, GossipTable, LOCAL_ITEM_LIMIT, MemberPresence};
 pub use links::{LinkPlan, PlanMember};
 pub use status::{
     EndpointLoad, InstanceListing, InstanceProgram, InstanceState, LocalStatus, OrganisationShare,
     PeerStatus,
 };
-pub use table::{FORGET_AFTER, HEARTBEAT_TIMEOUT, MemberTable, REACH_TIMEOUT, RELAYED_TIMEOUT};
+pub use table::{
+    FIRST_HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT, MEMBER_RETENTION, MemberTable, RELAYED_TIMEOUT,
+};
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -115,7 +115,8 @@
     /// The offset of the next entry that it will apply, if it has told.
     pub next_offset: Option<LogOffset>,
     /// When it was last heard, directly or through others, on the reader's clock.
-    pub heard_at: Option<ClockTime>,
+    #[serde(rename = "heard_at")]
+    pub last_seen: Option<ClockTime>,
     /// What it tells of its work; what did not fit is left out.
     pub status: LocalStatus,
 }
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -20,16 +20,16 @@
 /// How long a peer to which a connection is wanted may take until it is first
 /// heard directly. Each of the two waits up to two seconds for the other to
 /// connect and a second for the connection; a heartbeat's time is left besides.
-pub const REACH_TIMEOUT: TimeSpan = TimeSpan::from_secs(6);
+pub const FIRST_HEARTBEAT_TIMEOUT: TimeSpan = TimeSpan::from_secs(6);
 
 /// How long an instance that nobody lists or hears is remembered.
-pub const FORGET_AFTER: TimeSpan = TimeSpan::from_secs(180);
+pub const MEMBER_RETENTION: TimeSpan = TimeSpan::from_secs(180);
 
 #[derive(Clone, Debug, Default)]
 struct MemberEntry {
     listing: Option<InstanceListing>,
     listed_at: Option<ClockTime>,
-    heard_at: Option<ClockTime>,
+    last_heartbeat: Option<ClockTime>,
     relayed_at: Option<ClockTime>,
     /// Since when a direct connection has been wanted.
     expected_at: Option<ClockTime>,
@@ -38,45 +38,45 @@
 /// What one instance knows of the others.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
-    own: InstanceId,
+    local: InstanceId,
     entries: BTreeMap<InstanceId, MemberEntry>,
     gossip: GossipTable,
 }
 
 impl MemberTable {
     /// A table in which `own`, started as number `incarnation`, knows nobody yet.
-    pub fn new(own: InstanceId, incarnation: u64) -> MemberTable {
+    pub fn new(local: InstanceId, incarnation: u64) -> MemberTable {
         MemberTable {
-            gossip: GossipTable::new(own.clone(), incarnation),
-            own,
+            gossip: GossipTable::new(local.clone(), incarnation),
+            local,
             entries: BTreeMap::new(),
         }
     }
 
     /// Takes the platform's list, which was read at `now`.
-    pub fn list(&mut self, now: ClockTime, listings: &[InstanceListing]) {
-        for listing in listings.iter().filter(|l| l.instance != self.own) {
+    pub fn update_listings(&mut self, now: ClockTime, listings: &[InstanceListing]) {
+        for listing in listings.iter().filter(|l| l.instance != self.local) {
             let entry = self.entries.entry(listing.instance.clone()).or_default();
             entry.listing = Some(listing.clone());
             entry.listed_at = Some(now);
         }
         let gossip = &mut self.gossip;
         self.entries.retain(|instance, entry| {
-            let seen = [entry.listed_at, entry.heard_at, entry.relayed_at];
+            let seen = [entry.listed_at, entry.last_heartbeat, entry.relayed_at];
             let seen = seen.into_iter().flatten().max();
-            let keep = seen.is_some_and(|seen| now.since(seen) <= FORGET_AFTER);
+            let keep = seen.is_some_and(|seen| now.since(seen) <= MEMBER_RETENTION);
             if !keep {
-                gossip.forget(instance);
+                gossip.remove_member(instance);
             }
             keep
         });
     }
 
     /// Takes items that the peer `from` sent with its heartbeat.
-    pub fn hear(&mut self, now: ClockTime, from: &InstanceId, items: &[GossipItem]) {
-        self.entries.entry(from.clone()).or_default().heard_at = Some(now);
-        for item in items.iter().filter(|item| item.member != self.own) {
-            let news = self.gossip.take(from, item);
+    pub fn receive(&mut self, now: ClockTime, from: &InstanceId, items: &[GossipItem]) {
+        self.entries.entry(from.clone()).or_default().last_heartbeat = Some(now);
+        for item in items.iter().filter(|item| item.member != self.local) {
+            let news = self.gossip.merge(from, item);
             if news && item.member != *from {
                 let entry = self.entries.entry(item.member.clone()).or_default();
                 entry.relayed_at = Some(now);
@@ -85,21 +85,21 @@
     }
 
     /// Sets what this instance tells of itself.
-    pub fn set_own(&mut self, presence: MemberPresence, next: LogOffset, status: &LocalStatus) {
-        self.gossip.set_own(presence, next, status);
+    pub fn set_local(&mut self, presence: MemberPresence, next: LogOffset, status: &LocalStatus) {
+        self.gossip.set_local(presence, next, status);
     }
 
     /// The items to send to `link` with the next heartbeat, in at most about
     /// `budget` bytes.
-    pub fn beat(&mut self, link: &InstanceId, budget: usize) -> Vec<GossipItem> {
-        self.gossip.beat(link, budget)
+    pub fn heartbeat_items(&mut self, link: &InstanceId, budget: usize) -> Vec<GossipItem> {
+        self.gossip.heartbeat_items(link, budget)
     }
 
     /// Notes that no direct connection to `instance` is wanted any more: its
     /// silence then means nothing, and others tell of it.
-    pub fn unlink(&mut self, now: ClockTime, instance: &InstanceId) {
+    pub fn remove_link(&mut self, now: ClockTime, instance: &InstanceId) {
         if let Some(entry) = self.entries.get_mut(instance)
-            && entry.heard_at.take().is_some()
+            && entry.last_heartbeat.take().is_some()
         {
             entry.relayed_at = Some(now);
         }
@@ -108,7 +108,7 @@
     /// Notes to whom direct connections are wanted at `now`. A peer that was lost
     /// before its connection stood has never been heard, so it can't fall silent;
     /// the list would vouch for it long after.
-    pub fn expect(&mut self, now: ClockTime, wanted: &[InstanceId]) {
+    pub fn set_expected_links(&mut self, now: ClockTime, wanted: &[InstanceId]) {
         for (instance, entry) in &mut self.entries {
             entry.expected_at = match wanted.contains(instance) {
                 true => entry.expected_at.or(Some(now)),
@@ -129,10 +129,10 @@
         let Some(entry) = self.entries.get(instance) else {
             return true;
         };
-        if let Some(heard_at) = entry.heard_at {
-            return now.since(heard_at) > HEARTBEAT_TIMEOUT;
+        if let Some(last_heartbeat) = entry.last_heartbeat {
+            return now.since(last_heartbeat) > HEARTBEAT_TIMEOUT;
         }
-        let is_overdue = |expected: ClockTime| now.since(expected) > REACH_TIMEOUT;
+        let is_overdue = |expected: ClockTime| now.since(expected) > FIRST_HEARTBEAT_TIMEOUT;
         if entry.expected_at.is_some_and(is_overdue) {
             return true;
         }
@@ -185,7 +185,7 @@
             state: status.state,
             suspected: self.is_suspected(now, instance),
             next_offset: self.gossip.progress(instance),
-            heard_at: entry.heard_at.max(entry.relayed_at),
+            last_seen: entry.last_heartbeat.max(entry.relayed_at),
             status,
         })
     }
--- a/crates/core/src/provision/mod.rs
+++ b/crates/core/src/provision/mod.rs
@@ -127,8 +127,9 @@
 
 impl DomainTarget {
     fn new(scaling: &ScalingRule, base: u32) -> DomainTarget {
-        let lasting = ((f64::from(base) * LASTING_SHARE).ceil() as u32).max(scaling.least.min(1));
-        let room = scaling.most.saturating_sub(lasting);
+        let lasting =
+            ((f64::from(base) * LASTING_SHARE).ceil() as u32).max(scaling.min_endpoints.min(1));
+        let room = scaling.max_endpoints.saturating_sub(lasting);
         let preemptible = match scaling.preemptible_price {
             Some(_) => ((f64::from(base) * PREEMPTIBLE_FACTOR).ceil() as u32).min(room),
             None => 0,
@@ -296,7 +297,7 @@
         } = target;
         let key = (service.clone(), domain.clone());
         let is_available = self.unavailable.get(&key).is_none_or(|until| now >= *until);
-        let room_now = scaling.most.saturating_sub(count.lasting);
+        let room_now = scaling.max_endpoints.saturating_sub(count.lasting);
         let wanted = preemptible.min(room_now);
         let order = |planner: &mut ProvisionPlanner, preemptible, wanted, present| {
             planner.order(now, service, domain, scaling, preemptible, wanted, present)
@@ -339,7 +340,7 @@
         present: u32,
     ) -> Option<ProvisionStep> {
         let key = (service.clone(), domain.clone(), preemptible);
-        let patience = scaling.boot + ORDER_SLACK;
+        let patience = scaling.startup_time + ORDER_SLACK;
         let placed = self.orders.get(&key);
         if placed.is_some_and(|order| order.count == count && now.since(order.at) < patience) {
             return None;
--- a/crates/core/src/publication/mod.rs
+++ b/crates/core/src/publication/mod.rs
@@ -58,7 +58,7 @@
     },
     /// The record changes a unit twice.
     #[error("`{unit}` is changed twice by one publish")]
-    Doubled {
+    DuplicateChange {
         /// The unit.
         unit: UnitName,
     },
@@ -99,7 +99,7 @@
             self.check_change(change)?;
             if !changed.insert(&change.unit) {
                 let unit = change.unit.clone();
-                return Err(PublishRefusal::Doubled { unit });
+                return Err(PublishRefusal::DuplicateChange { unit });
             }
         }
         self.check_digests(record, &changed)?;
@@ -120,7 +120,7 @@
         // A unit that hands its key to another of the same record has been
         // released after the other took it.
         for change in &record.changes {
-            self.hold_digest(&change.unit, change.body.as_ref());
+            self.assign_digest(&change.unit, change.body.as_ref());
         }
         let lost = |key: &KeyUnit| self.organisation_of(&key.digest) != Some(&key.organisation);
         let lost = before.into_iter().filter(lost);
@@ -146,11 +146,11 @@
     }
 
     fn put(&mut self, name: UnitName, version: UnitVersion) {
-        self.hold_digest(&name, version.body.as_ref());
+        self.assign_digest(&name, version.body.as_ref());
         self.units.insert(name, version);
     }
 
-    fn hold_digest(&mut self, name: &UnitName, body: Option<&UnitBody>) {
+    fn assign_digest(&mut self, name: &UnitName, body: Option<&UnitBody>) {
         if let Some(UnitBody::Key(key)) = body {
             self.holders.insert(key.digest.clone(), name.clone());
         }
@@ -274,10 +274,10 @@
 
     /// Whether rules say that a call of `service` may be repeated: the longest
     /// matching prefix decides, and without any match it may not.
-    pub fn repeatable(&self, service: &ServiceName, method: &str, path: &str) -> bool {
+    pub fn is_repeatable(&self, service: &ServiceName, method: &str, path: &str) -> bool {
         let first = Included(UnitName::first_of(UnitKind::Rule));
-        let from_rules_on = self.units.range((first, Unbounded));
-        let rules = from_rules_on.map_while(|(name, unit)| match &unit.body {
+        let units_after_first = self.units.range((first, Unbounded));
+        let rules = units_after_first.map_while(|(name, unit)| match &unit.body {
             Some(UnitBody::Rule(rule)) => Some(Some(rule)),
             _ => (name.kind() == UnitKind::Rule).then_some(None),
         });
--- a/crates/core/src/relay/copies.rs
+++ b/crates/core/src/relay/copies.rs
@@ -17,11 +17,11 @@
 pub const COPY_THRESHOLD: ByteSize = ByteSize::new(128 * 1_024);
 
 /// How long an instance waits for the copy of an advertised version.
-const COPY_PATIENCE: TimeSpan = TimeSpan::from_millis(700);
+const COPY_TIMEOUT: TimeSpan = TimeSpan::from_millis(700);
 
 /// The position of a copy in the topic of copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CopyPlace {
+pub struct CopyLocation {
     /// The offset of its first record.
     pub offset: LogOffset,
     /// How many records it has.
@@ -39,16 +39,16 @@
     /// It is being made.
     Pending,
     /// It can be fetched.
-    Available(CopyPlace),
+    Available(CopyLocation),
 }
 
 /// Where to fetch a version that is missing here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionSource {
     /// Nowhere yet; its copy is being made.
-    Awaited,
+    Pending,
     /// From the copy.
-    Copy(CopyPlace),
+    Copy(CopyLocation),
     /// From the operator's record.
     Original,
 }
@@ -61,12 +61,12 @@
     known_at: ClockTime,
     next: LogOffset,
     copy: CopyState,
-    has_failed: bool,
+    copy_failed: bool,
 }
 
 /// What a reader advertises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ConfigurationAdvert {
+pub struct VersionAdvertisement {
     /// The version that it has in force.
     pub version: u64,
     /// When that was known to be the newest one, on the receiver's clock.
@@ -85,25 +85,25 @@
 
     /// Takes what the reader advertises. Returns whether a follower that waits has
     /// something to do.
-    pub fn note(&mut self, now: ClockTime, advert: ConfigurationAdvert) -> bool {
-        if advert.version < self.version {
+    pub fn note_advertisement(&mut self, now: ClockTime, received: VersionAdvertisement) -> bool {
+        if received.version < self.version {
             return false;
         }
-        if advert.version > self.version {
+        if received.version > self.version {
             *self = AdvertisedConfiguration {
-                version: advert.version,
+                version: received.version,
                 advertised_at: now,
-                known_at: advert.known_at,
-                next: advert.next,
-                copy: advert.copy,
-                has_failed: false,
+                known_at: received.known_at,
+                next: received.next,
+                copy: received.copy,
+                copy_failed: false,
             };
             return true;
         }
-        self.known_at = self.known_at.max(advert.known_at);
-        self.next = self.next.max(advert.next);
-        let is_changed = advert.copy != self.copy;
-        self.copy = advert.copy;
+        self.known_at = self.known_at.max(received.known_at);
+        self.next = self.next.max(received.next);
+        let is_changed = received.copy != self.copy;
+        self.copy = received.copy;
         is_changed
     }
 
@@ -126,15 +126,15 @@
 
     /// The copy could not be used; the original is fetched instead.
     pub fn note_failed_copy(&mut self) {
-        self.has_failed = true;
+        self.copy_failed = true;
     }
 
     /// Where to fetch the version.
     pub fn source(&self, now: ClockTime) -> VersionSource {
         match self.copy {
-            CopyState::Available(place) if !self.has_failed => VersionSource::Copy(place),
-            CopyState::Pending if now.since(self.advertised_at) < COPY_PATIENCE => {
-                VersionSource::Awaited
+            CopyState::Available(place) if !self.copy_failed => VersionSource::Copy(place),
+            CopyState::Pending if now.since(self.advertised_at) < COPY_TIMEOUT => {
+                VersionSource::Pending
             }
             _ => VersionSource::Original,
         }
--- a/crates/core/src/relay/mod.rs
+++ b/crates/core/src/relay/mod.rs
@@ -14,7 +14,7 @@
 mod copies;
 
 pub use self::copies::{
-    AdvertisedConfiguration, COPY_THRESHOLD, ConfigurationAdvert, CopyPlace, CopyState,
+    AdvertisedConfiguration, COPY_THRESHOLD, CopyLocation, CopyState, VersionAdvertisement,
     VersionSource,
 };
 use crate::{
@@ -24,21 +24,21 @@
 
 /// How long it takes from noticing that a reader's word is too old to having read:
 /// looking a few times a second, and a read that has to be repeated once.
-const READ_TIME: TimeSpan = TimeSpan::from_millis(700);
+const DIRECT_READ_TIME: TimeSpan = TimeSpan::from_millis(700);
 
 /// The shortest age at which a reader's word is too old: readers ask the store
 /// about twice a second, and their word takes some tenths of a second.
-const LEAST_LIMIT: TimeSpan = TimeSpan::from_millis(1_100);
+const MIN_RELAY_AGE_LIMIT: TimeSpan = TimeSpan::from_millis(1_100);
 
 /// How old a reader's word may be, so that what it does not say is known in time
 /// all the same: a change that must have effect within `bound`.
-pub fn told_limit(bound: TimeSpan) -> TimeSpan {
-    bound.less(READ_TIME).max(LEAST_LIMIT)
+pub fn relay_age_limit(bound: TimeSpan) -> TimeSpan {
+    bound.less(DIRECT_READ_TIME).max(MIN_RELAY_AGE_LIMIT)
 }
 
 /// For how long two pictures of the endpoints may differ before the one who is
 /// told reads them whole: what is on its way makes them differ for a moment.
-pub const DIFFERENCE_PATIENCE: TimeSpan = TimeSpan::from_millis(700);
+pub const DIGEST_MISMATCH_TIMEOUT: TimeSpan = TimeSpan::from_millis(700);
 
 /// Whether `own` is the reader of its failure domain: of the instances there that
 /// are alive, the first by name.
@@ -52,12 +52,12 @@
 /// The stamp of ours that another instance names in its word: it had received it
 /// before it spoke.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct EchoedStamp {
+pub struct EchoedTimestamp {
     /// Our clock when we sent it.
     pub sent: ClockTime,
 }
 
-impl EchoedStamp {
+impl EchoedTimestamp {
     /// The time on our clock at which what the other says was true: it spoke after
     /// it had received our stamp, of knowledge that was `age` old then.
     pub fn known_at(self, age: TimeSpan) -> ClockTime {
@@ -67,28 +67,28 @@
 
 /// Whether two pictures of the endpoints have differed for too long.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct DifferenceWatch {
-    differs_since: Option<ClockTime>,
+pub struct DigestMismatchTimer {
+    mismatch_since: Option<ClockTime>,
 }
 
-impl DifferenceWatch {
+impl DigestMismatchTimer {
     /// No difference seen.
-    pub fn new() -> DifferenceWatch {
-        DifferenceWatch::default()
+    pub fn new() -> DigestMismatchTimer {
+        DigestMismatchTimer::default()
     }
 
     /// Compares; answers whether the picture has to be read whole.
-    pub fn compare(&mut self, now: ClockTime, own: u64, told: u64) -> bool {
-        if own == told {
-            self.differs_since = None;
+    pub fn compare(&mut self, now: ClockTime, local: u64, reader: u64) -> bool {
+        if local == reader {
+            self.mismatch_since = None;
             return false;
         }
-        let since = *self.differs_since.get_or_insert(now);
-        now.since(since) >= DIFFERENCE_PATIENCE
+        let since = *self.mismatch_since.get_or_insert(now);
+        now.since(since) >= DIGEST_MISMATCH_TIMEOUT
     }
 
     /// The picture has been read whole.
     pub fn reset(&mut self) {
-        self.differs_since = None;
+        self.mismatch_since = None;
     }
 }
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bluebell_core::{
-    authority::{DutyCandidate, DutyKeeper, DutySeat, LeaseState, LeaseTiming, duty_ranks},
+    authority::{DutyCandidacy, DutyCandidate, LeaseManager, LeaseState, LeaseTiming, duty_ranks},
     clock::{ClockTime, TimeSpan},
     ids::{FailureDomain, InstanceId, LogOffset},
     records::{DutyName, LeaseAction, LeaseRecord},
@@ -15,7 +15,7 @@
     InstanceId::new(name).expect("the name is valid")
 }
 
-fn keeper(name: &str) -> DutyKeeper {
+fn manager(name: &str) -> LeaseManager {
     let timing = LeaseTiming {
         duration: LEASE,
         margin: TimeSpan::from_secs(1),
@@ -23,11 +23,11 @@
         stagger: TimeSpan::from_millis(500),
         handover_after: TimeSpan::from_secs(10),
     };
-    DutyKeeper::new(instance(name), timing)
+    LeaseManager::new(instance(name), timing)
 }
 
-fn seat(rank: usize, busy: bool) -> DutySeat {
-    DutySeat {
+fn candidacy(rank: usize, busy: bool) -> DutyCandidacy {
+    DutyCandidacy {
         duty: DutyName::Fleet,
         rank,
         busy,
@@ -43,15 +43,15 @@
 }
 
 /// Claims at `at` and reads the claim back at once, as the record `offset(0)`.
-fn claimed(name: &str, at: u64) -> (DutyKeeper, LeaseState) {
-    let mut keeper = keeper(name);
+fn claimed(name: &str, at: u64) -> (LeaseManager, LeaseState) {
+    let mut manager = manager(name);
     let mut leases = LeaseState::new();
-    let claim = keeper.next_record(millis(at), &leases, offset(0), &seat(0, false));
+    let claim = manager.next_record(millis(at), &leases, offset(0), &candidacy(0, false));
     leases.apply(millis(at), offset(0), &claim.expect("the duty is free"));
-    keeper.appended(&DutyName::Fleet, millis(at), offset(0));
-    let next = keeper.next_record(millis(at), &leases, offset(1), &seat(0, false));
+    manager.appended(&DutyName::Fleet, millis(at), offset(0));
+    let next = manager.next_record(millis(at), &leases, offset(1), &candidacy(0, false));
     assert_eq!(next, None);
-    (keeper, leases)
+    (manager, leases)
 }
 
 /// Two controllers claim a duty that has run out. One reader gets to the log at
@@ -98,10 +98,10 @@
 #[test]
 fn the_holder_counts_from_before_its_append_was_sent() {
     let (mut holder, mut leases) = claimed("a", 0);
-    let renewal = holder.next_record(millis(2_000), &leases, offset(1), &seat(0, false));
+    let renewal = holder.next_record(millis(2_000), &leases, offset(1), &candidacy(0, false));
     leases.apply(millis(6_500), offset(1), &renewal.expect("it is due"));
     holder.appended(&DutyName::Fleet, millis(2_000), offset(1));
-    let none = holder.next_record(millis(6_500), &leases, offset(2), &seat(0, true));
+    let none = holder.next_record(millis(6_500), &leases, offset(2), &candidacy(0, true));
     assert!(none.is_some_and(|next| matches!(next.action, LeaseAction::Renew { .. })));
     let granted = |at: u64| {
         holder
@@ -117,10 +117,10 @@
 #[test]
 fn a_claimant_waits_longer_than_a_slow_clock_counts() {
     let (holder, leases) = claimed("a", 0);
-    let mut claimant = keeper("b");
+    let mut claimant = manager("b");
     let slow = |time: u64| millis(time * 9 / 10);
     let first_claim = (0..20_000).find(|time| {
-        let record = claimant.next_record(millis(*time), &leases, offset(1), &seat(0, false));
+        let record = claimant.next_record(millis(*time), &leases, offset(1), &candidacy(0, false));
         record.is_some()
     });
     let first_claim = first_claim.expect("the lease runs out");
@@ -141,8 +141,8 @@
 #[test]
 fn a_process_does_not_act_under_its_predecessors_claim() {
     let (_, leases) = claimed("a", 0);
-    let mut restarted = keeper("a");
-    let record = restarted.next_record(millis(1_000), &leases, offset(1), &seat(0, false));
+    let mut restarted = manager("a");
+    let record = restarted.next_record(millis(1_000), &leases, offset(1), &candidacy(0, false));
     assert_eq!(record, None);
     assert!(
         restarted
@@ -163,7 +163,7 @@
 fn a_holder_hands_over_to_the_preferred_candidate_unless_it_is_busy() {
     let (mut holder, leases) = claimed("a", 0);
     let mut record_at = |at: u64, busy: bool| {
-        let record = holder.next_record(millis(at), &leases, offset(1), &seat(1, busy));
+        let record = holder.next_record(millis(at), &leases, offset(1), &candidacy(1, busy));
         record.map(|record| record.action)
     };
     let renewal = Some(LeaseAction::Renew { fence: offset(0) });
--- a/crates/core/tests/directory.rs
+++ b/crates/core/tests/directory.rs
@@ -39,7 +39,9 @@
 
 fn open(directory: &EndpointDirectory) -> Vec<String> {
     let chat = chat();
-    let names = directory.open_for(&chat).map(|entry| entry.id.to_string());
+    let names = directory
+        .available_for(&chat)
+        .map(|entry| entry.id.to_string());
     names.collect()
 }
 
@@ -84,7 +86,7 @@
     directory.register(registration("lives"));
     directory.register(registration("died"));
     directory.note_outage(at(1_000));
-    directory.note_return(at(6_000));
+    directory.note_answer(at(6_000));
     assert_eq!(
         directory.unregister(at(6_010), &id("lives")),
         DirectoryChange::Lapsed
@@ -95,9 +97,9 @@
     );
     assert_eq!(open(&directory), ["died", "lives"]);
     directory.register(registration("lives"));
-    assert!(directory.advance(at(7_999)).is_empty());
+    assert!(directory.remove_expired(at(7_999)).is_empty());
     // One still missing after the grace is to be taken as gone.
-    assert_eq!(directory.advance(at(8_000)), [id("died")]);
+    assert_eq!(directory.remove_expired(at(8_000)), [id("died")]);
     assert_eq!(open(&directory), ["lives"]);
 }
 
@@ -113,7 +115,7 @@
     );
     directory.register(registration("two"));
     directory.note_outage(at(6_000));
-    directory.note_return(at(7_000));
+    directory.note_answer(at(7_000));
     let late = at(7_000) + LAPSE_GRACE;
     assert_eq!(
         directory.unregister(late, &id("two")),
@@ -129,15 +131,15 @@
     let mut directory = EndpointDirectory::new();
     directory.register(registration("one"));
     directory.note_outage(at(1_000));
-    directory.note_return(at(9_000));
+    directory.note_answer(at(9_000));
     directory.lapse(at(10_000), &id("one"), TimeSpan::from_millis(300));
     directory.lapse(at(10_200), &id("one"), TimeSpan::from_millis(300));
     assert_eq!(
-        directory.kept_for(at(10_200), &id("one")),
+        directory.remaining_grace(at(10_200), &id("one")),
         Some(TimeSpan::from_millis(100))
     );
-    assert!(directory.advance(at(10_299)).is_empty());
-    assert_eq!(directory.advance(at(10_300)), [id("one")]);
+    assert!(directory.remove_expired(at(10_299)).is_empty());
+    assert_eq!(directory.remove_expired(at(10_300)), [id("one")]);
 }
 
 #[test]
@@ -165,7 +167,7 @@
     directory.register(registration("kept"));
     directory.register(registration("missing"));
     let kept = id("kept");
-    let missing = directory.keep_only(at(1_000), |listed| *listed == kept);
+    let missing = directory.retain_listed(at(1_000), |listed| *listed == kept);
     assert_eq!(missing, [id("missing")]);
     assert_eq!(open(&directory), ["kept"]);
 }
@@ -176,7 +178,7 @@
 fn a_withdrawal_counts_at_once_where_the_store_was_never_away() {
     let mut directory = EndpointDirectory::new();
     directory.register(registration("withdrawn"));
-    directory.note_return(at(11_400));
+    directory.note_answer(at(11_400));
     let kept_for = TimeSpan::from_millis(2_000);
     let change = directory.lapse(at(11_910), &id("withdrawn"), kept_for);
     assert_eq!(change, DirectoryChange::Gone);
@@ -189,9 +191,9 @@
 fn a_failed_read_is_no_outage_in_which_registrations_lapse() {
     let mut directory = EndpointDirectory::new();
     directory.register(registration("withdrawn"));
-    directory.note_return(at(5_000));
+    directory.note_answer(at(5_000));
     directory.note_outage(at(5_900));
-    directory.note_return(at(6_000));
+    directory.note_answer(at(6_000));
     let change = directory.unregister(at(6_500), &id("withdrawn"));
     assert_eq!(change, DirectoryChange::Gone);
     assert!(open(&directory).is_empty());
@@ -203,15 +205,15 @@
 fn an_outage_ends_with_the_first_answer_to_the_reader() {
     let mut directory = EndpointDirectory::new();
     directory.register(registration("lives"));
-    directory.note_return(at(1_000));
+    directory.note_answer(at(1_000));
     directory.note_outage(at(2_900));
-    directory.note_return(at(900));
-    directory.note_return(at(6_000));
+    directory.note_answer(at(900));
+    directory.note_answer(at(6_000));
     let kept_for = TimeSpan::from_millis(5_000);
     let change = directory.lapse(at(6_100), &id("lives"), kept_for);
     assert_eq!(change, DirectoryChange::Lapsed);
     assert_eq!(open(&directory), ["lives"]);
-    assert_eq!(directory.advance(at(8_000)), [id("lives")]);
+    assert_eq!(directory.remove_expired(at(8_000)), [id("lives")]);
 }
 
 /// Guards against telling the same lapse again with each word of the reader.
@@ -220,10 +222,10 @@
     let mut directory = EndpointDirectory::new();
     directory.register(registration("one"));
     directory.note_outage(at(1_000));
-    directory.note_return(at(6_000));
+    directory.note_answer(at(6_000));
     let first = directory.unregister(at(6_100), &id("one"));
     assert_eq!(first, DirectoryChange::Lapsed);
     let again = directory.unregister(at(6_200), &id("one"));
     assert_eq!(again, DirectoryChange::Same);
-    assert_eq!(directory.advance(at(8_000)), [id("one")]);
+    assert_eq!(directory.remove_expired(at(8_000)), [id("one")]);
 }
--- a/crates/core/tests/ingress.rs
+++ b/crates/core/tests/ingress.rs
@@ -7,7 +7,7 @@
     clock::{ClockTime, TimeSpan},
     ids::{KeyDigest, OrganisationId, ServiceName},
     ingress::{
-        AcceptedVersion, CallerLimits, ConfigurationBelief, IngressConfiguration, OrganisationRule,
+        CallerLimits, ConfigurationTracker, IngressConfiguration, OfferOutcome, OrganisationRule,
         RouteKind, RouteRule, RouteTable, WeightedService,
     },
     units::ByteSize,
@@ -65,24 +65,24 @@
     // Two reads of the configuration overtake each other, or another instance that
     // is behind tells what it knows. Were the older one put in force, a withdrawn
     // key would work again and its holder would notice nothing.
-    let mut belief = ConfigurationBelief::new();
+    let mut tracker = ConfigurationTracker::new();
     assert_eq!(
-        belief.offer(configuration(7, Vec::new(), &["old", "new"])),
-        AcceptedVersion::Newer
+        tracker.offer(configuration(7, Vec::new(), &["old", "new"])),
+        OfferOutcome::Newer
     );
     assert_eq!(
-        belief.offer(configuration(9, Vec::new(), &["new"])),
-        AcceptedVersion::Newer
+        tracker.offer(configuration(9, Vec::new(), &["new"])),
+        OfferOutcome::Newer
     );
     assert_eq!(
-        belief.offer(configuration(7, Vec::new(), &["old", "new"])),
-        AcceptedVersion::Older
+        tracker.offer(configuration(7, Vec::new(), &["old", "new"])),
+        OfferOutcome::Older
     );
     assert_eq!(
-        belief.offer(configuration(9, Vec::new(), &["new"])),
-        AcceptedVersion::Same
+        tracker.offer(configuration(9, Vec::new(), &["new"])),
+        OfferOutcome::Same
     );
-    let table = belief.table().unwrap();
+    let table = tracker.table().unwrap();
     assert!(table.organisation(&KeyDigest::with_key("old")).is_none());
     assert!(table.organisation(&KeyDigest::with_key("new")).is_some());
 }
@@ -92,17 +92,17 @@
     // A read is held back at the store and comes back late. A key that was
     // withdrawn after the store looked is not in it, so the answer is as old as the
     // question; counted from its arrival, the key would work for too long.
-    let mut belief = ConfigurationBelief::new();
-    assert_eq!(belief.age(at(0)), None);
-    assert!(!belief.is_fresh(at(0), span(4_750)));
-    belief.offer(configuration(1, Vec::new(), &[]));
-    belief.confirm(at(1_000));
-    assert_eq!(belief.age(at(5_000)), Some(span(4_000)));
-    assert!(belief.is_fresh(at(5_749), span(4_750)));
-    assert!(!belief.is_fresh(at(5_750), span(4_750)));
+    let mut tracker = ConfigurationTracker::new();
+    assert_eq!(tracker.age(at(0)), None);
+    assert!(!tracker.is_fresh(at(0), span(4_750)));
+    tracker.offer(configuration(1, Vec::new(), &[]));
+    tracker.confirm(at(1_000));
+    assert_eq!(tracker.age(at(5_000)), Some(span(4_000)));
+    assert!(tracker.is_fresh(at(5_749), span(4_750)));
+    assert!(!tracker.is_fresh(at(5_750), span(4_750)));
     // A confirmation that overtook another does not make it older again.
-    belief.confirm(at(500));
-    assert_eq!(belief.age(at(5_000)), Some(span(4_000)));
+    tracker.confirm(at(500));
+    assert_eq!(tracker.age(at(5_000)), Some(span(4_000)));
 }
 
 #[test]
@@ -158,18 +158,18 @@
 /// newer one does not arrive.
 #[test]
 fn a_version_known_to_be_replaced_is_outdated_after_the_bound() {
-    let mut belief = ConfigurationBelief::new();
-    belief.offer(configuration(18, Vec::new(), &[]));
-    belief.note_advertised(at(1_000), 18);
-    assert!(!belief.is_outdated(at(60_000), span(2_000)));
-    belief.note_advertised(at(64_000), 20);
-    belief.note_advertised(at(65_900), 23);
-    assert!(!belief.is_outdated(at(65_999), span(2_000)));
-    assert!(belief.is_outdated(at(66_000), span(2_000)));
+    let mut tracker = ConfigurationTracker::new();
+    tracker.offer(configuration(18, Vec::new(), &[]));
+    tracker.note_advertised(at(1_000), 18);
+    assert!(!tracker.is_outdated(at(60_000), span(2_000)));
+    tracker.note_advertised(at(64_000), 20);
+    tracker.note_advertised(at(65_900), 23);
+    assert!(!tracker.is_outdated(at(65_999), span(2_000)));
+    assert!(tracker.is_outdated(at(66_000), span(2_000)));
     // The version in between arrives: what is missing now was heard of later.
-    belief.offer(configuration(20, Vec::new(), &[]));
-    assert!(!belief.is_outdated(at(67_899), span(2_000)));
-    assert!(belief.is_outdated(at(67_900), span(2_000)));
-    belief.offer(configuration(23, Vec::new(), &[]));
-    assert!(!belief.is_outdated(at(99_000), span(2_000)));
+    tracker.offer(configuration(20, Vec::new(), &[]));
+    assert!(!tracker.is_outdated(at(67_899), span(2_000)));
+    assert!(tracker.is_outdated(at(67_900), span(2_000)));
+    tracker.offer(configuration(23, Vec::new(), &[]));
+    assert!(!tracker.is_outdated(at(99_000), span(2_000)));
 }
--- a/crates/core/tests/stewardship.rs
+++ b/crates/core/tests/leadership.rs
@@ -3,7 +3,7 @@
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
     ids::{InstanceId, LogOffset},
-    stewardship::{ACT_WITHIN, STEWARD_BEAT, StewardGrant, StewardSeat},
+    leadership::{ACTION_WINDOW, LEADER_HEARTBEAT_INTERVAL, LeaderGrant, LeadershipState},
     usage::MeterWriter,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -21,20 +21,20 @@
     }
 }
 
-fn seat(name: &str) -> StewardSeat {
-    StewardSeat::new(at(0), writer(name), LEASE)
+fn state(name: &str) -> LeadershipState {
+    LeadershipState::new(at(0), writer(name), LEASE)
 }
 
 #[test]
 fn nobody_appends_before_having_read_the_topic() {
     // A process starts anew while another is the steward. If it appended before it
     // has read that, two would act in turns.
-    let mut seat = seat("one");
-    assert!(!seat.may_append(at(60_000)));
-    seat.note_record(at(60_000), LogOffset::new(7), writer("two"));
-    assert!(!seat.may_append(at(60_001)));
-    assert_eq!(seat.end(), Some(LogOffset::new(8)));
-    assert!(!seat.is_steward());
+    let mut state = state("one");
+    assert!(!state.may_append(at(60_000)));
+    state.note_record(at(60_000), LogOffset::new(7), writer("two"));
+    assert!(!state.may_append(at(60_001)));
+    assert_eq!(state.end(), Some(LogOffset::new(8)));
+    assert!(!state.is_leader());
 }
 
 #[test]
@@ -42,38 +42,38 @@
     // The steward's append stands, and then its instance stands still for five
     // seconds. Somebody else is the steward when it wakes; the order that it was
     // about to send would come from the past.
-    let mut seat = seat("one");
-    seat.note_end(LogOffset::START);
-    let grant = seat.appended(at(2_004), at(2_000), LogOffset::START);
+    let mut state = state("one");
+    state.note_end(LogOffset::START);
+    let grant = state.appended(at(2_004), at(2_000), LogOffset::START);
     assert!(grant.allows(at(2_100)));
-    assert!(grant.allows(at(2_000) + ACT_WITHIN));
+    assert!(grant.allows(at(2_000) + ACTION_WINDOW));
     assert!(!grant.allows(at(7_100)));
 }
 
 #[test]
 fn a_silent_steward_is_followed_after_its_last_act_and_the_lease() {
-    let mut seat = seat("one");
-    seat.note_record(at(1_000), LogOffset::new(3), writer("two"));
-    let patience = seat.patience();
-    assert!(patience >= LEASE + ACT_WITHIN);
-    assert!(patience > STEWARD_BEAT);
-    let due = at(1_000) + patience;
-    assert!(!seat.may_append(due - TimeSpan::from_millis(1)));
-    assert!(seat.may_append(due));
-    assert!(seat.patience_left(at(1_000)) > patience);
+    let mut state = state("one");
+    state.note_record(at(1_000), LogOffset::new(3), writer("two"));
+    let timeout = state.takeover_timeout();
+    assert!(timeout >= LEASE + ACTION_WINDOW);
+    assert!(timeout > LEADER_HEARTBEAT_INTERVAL);
+    let due = at(1_000) + timeout;
+    assert!(!state.may_append(due - TimeSpan::from_millis(1)));
+    assert!(state.may_append(due));
+    assert!(state.takeover_wait(at(1_000)) > timeout);
     // A beat of the steward starts the wait anew.
-    seat.note_record(due, LogOffset::new(4), writer("two"));
-    assert!(!seat.may_append(due + TimeSpan::from_millis(1_000)));
+    state.note_record(due, LogOffset::new(4), writer("two"));
+    assert!(!state.may_append(due + TimeSpan::from_millis(1_000)));
 }
 
 #[test]
 fn records_that_are_read_twice_change_nothing() {
-    let mut seat = seat("one");
-    seat.note_record(at(0), LogOffset::new(3), writer("two"));
-    seat.note_record(at(100), LogOffset::new(4), writer("one"));
-    seat.note_record(at(200), LogOffset::new(3), writer("two"));
-    assert!(seat.is_steward());
-    assert_eq!(seat.end(), Some(LogOffset::new(5)));
+    let mut state = state("one");
+    state.note_record(at(0), LogOffset::new(3), writer("two"));
+    state.note_record(at(100), LogOffset::new(4), writer("one"));
+    state.note_record(at(200), LogOffset::new(3), writer("two"));
+    assert!(state.is_leader());
+    assert_eq!(state.end(), Some(LogOffset::new(5)));
 }
 
 /// What happens to one of three processes next.
@@ -98,8 +98,8 @@
 struct Stage {
     now: ClockTime,
     log: Vec<MeterWriter>,
-    seats: Vec<StewardSeat>,
-    grants: Vec<Option<StewardGrant>>,
+    states: Vec<LeadershipState>,
+    grants: Vec<Option<LeaderGrant>>,
     acts: Vec<(ClockTime, usize, LogOffset)>,
 }
 
@@ -109,7 +109,7 @@
         Stage {
             now: at(0),
             log: Vec::new(),
-            seats: names.iter().map(|name| seat(name)).collect(),
+            states: names.iter().map(|name| state(name)).collect(),
             grants: vec![None; 3],
             acts: Vec::new(),
         }
@@ -129,27 +129,27 @@
     }
 
     fn read(&mut self, process: usize) {
-        let from = self.seats[process].end().map_or(0, LogOffset::number);
+        let from = self.states[process].end().map_or(0, LogOffset::number);
         for offset in from..self.log.len() as u64 {
             let writer = self.log[offset as usize].clone();
-            self.seats[process].note_record(self.now, LogOffset::new(offset), writer);
+            self.states[process].note_record(self.now, LogOffset::new(offset), writer);
         }
-        self.seats[process].note_end(LogOffset::new(self.log.len() as u64));
+        self.states[process].note_end(LogOffset::new(self.log.len() as u64));
     }
 
     fn append(&mut self, process: usize, is_lost: bool) {
-        let seat = &mut self.seats[process];
-        if !seat.may_append(self.now) {
+        let state = &mut self.states[process];
+        if !state.may_append(self.now) {
             return;
         }
         let end = LogOffset::new(self.log.len() as u64);
-        if seat.end() != Some(end) {
+        if state.end() != Some(end) {
             return;
         }
         let name = ["one", "two", "three"][process];
         self.log.push(writer(name));
         if !is_lost {
-            let grant = seat.appended(self.now, self.now, end);
+            let grant = state.appended(self.now, self.now, end);
             self.grants[process] = Some(grant);
         }
     }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -8,9 +8,9 @@
     clock::{ClockTime, TimeSpan},
     ids::{EndpointId, FailureDomain, InstanceId, LogOffset, OrganisationId},
     membership::{
-        EndConfirmation, EndpointLoad, GossipTable, HEARTBEAT_TIMEOUT, InstanceListing,
-        InstanceProgram, InstanceState, LinkPlan, LocalStatus, LogKnowledge, MemberPresence,
-        MemberTable, OrganisationShare, PlanMember, REACH_TIMEOUT,
+        EndpointLoad, FIRST_HEARTBEAT_TIMEOUT, GossipTable, HEARTBEAT_TIMEOUT, InstanceListing,
+        InstanceProgram, InstanceState, LinkPlan, LocalStatus, LogEndConfirmation, LogFreshness,
+        MemberPresence, MemberTable, OrganisationShare, PlanMember,
     },
     units::{TokenCount, WorkCost},
 };
@@ -94,11 +94,11 @@
 #[test]
 fn a_large_fleet_keeps_few_connections_and_few_readers() {
     let plans = plans(&members(3, 117));
-    let readers = plans.values().filter(|plan| plan.reads).count();
+    let readers = plans.values().filter(|plan| plan.is_reader).count();
     assert_eq!(readers, 3 * 15);
     let most = plans.values().map(|plan| plan.neighbours.len()).max();
     assert!(most.is_some_and(|most| most <= 40), "{most:?} connections");
-    for plan in plans.values().filter(|plan| !plan.reads) {
+    for plan in plans.values().filter(|plan| !plan.is_reader) {
         assert_eq!(plan.readers.len(), 2);
         assert!(plan.neighbours.len() <= 6);
     }
@@ -110,12 +110,12 @@
     let mut members = members(1, 40);
     let lost = plans(&members)
         .into_iter()
-        .find(|(_, plan)| plan.reads)
+        .find(|(_, plan)| plan.is_reader)
         .expect("somebody reads");
     members.retain(|member| member.instance != lost.0);
     let plans = plans(&members);
-    for plan in plans.values().filter(|plan| !plan.reads) {
-        assert!(plan.readers.iter().all(|reader| plans[reader].reads));
+    for plan in plans.values().filter(|plan| !plan.is_reader) {
+        assert!(plan.readers.iter().all(|reader| plans[reader].is_reader));
         assert_eq!(plan.readers.len(), 2);
     }
 }
@@ -145,26 +145,26 @@
     let (a, b) = (instance("a"), instance("b"));
     let mut sender = GossipTable::new(a.clone(), 1);
     let mut receiver = GossipTable::new(b.clone(), 1);
-    sender.set_own(presence("x"), LogOffset::new(7), &status(3, 50));
-    let mut beats = 0;
+    sender.set_local(presence("x"), LogOffset::new(7), &status(3, 50));
+    let mut heartbeats = 0;
     loop {
-        let items = sender.beat(&b, 200);
+        let items = sender.heartbeat_items(&b, 200);
         assert!(items.len() <= 8, "{} items", items.len());
         if items.is_empty() {
             break;
         }
-        beats += 1;
+        heartbeats += 1;
         for item in &items {
-            receiver.take(&a, item);
+            receiver.merge(&a, item);
         }
     }
-    assert!(beats > 1);
+    assert!(heartbeats > 1);
     assert_eq!(receiver.status(&a).loads.len(), 12);
     assert_eq!(receiver.status(&a).shares.len(), 8);
-    sender.set_own(presence("x"), LogOffset::new(7), &LocalStatus::default());
-    for _ in 0..beats {
-        for item in sender.beat(&b, 200) {
-            receiver.take(&a, &item);
+    sender.set_local(presence("x"), LogOffset::new(7), &LocalStatus::default());
+    for _ in 0..heartbeats {
+        for item in sender.heartbeat_items(&b, 200) {
+            receiver.merge(&a, &item);
         }
     }
     assert_eq!(receiver.status(&a).loads, Vec::new());
@@ -178,11 +178,11 @@
     let mut former = GossipTable::new(a.clone(), 1);
     let mut latter = GossipTable::new(a.clone(), 2);
     let mut receiver = GossipTable::new(b.clone(), 1);
-    former.set_own(presence("x"), LogOffset::new(9), &status(3, 50));
-    latter.set_own(presence("x"), LogOffset::new(2), &LocalStatus::default());
-    let late = former.beat(&b, 4_000);
-    for item in latter.beat(&b, 4_000).iter().chain(&late) {
-        receiver.take(&instance("c"), item);
+    former.set_local(presence("x"), LogOffset::new(9), &status(3, 50));
+    latter.set_local(presence("x"), LogOffset::new(2), &LocalStatus::default());
+    let late = former.heartbeat_items(&b, 4_000);
+    for item in latter.heartbeat_items(&b, 4_000).iter().chain(&late) {
+        receiver.merge(&instance("c"), item);
     }
     assert_eq!(receiver.progress(&a), Some(LogOffset::new(2)));
     assert_eq!(receiver.status(&a).loads, Vec::new());
@@ -204,32 +204,32 @@
         for round in 0..60u64 {
             if round < 10 {
                 let next = LogOffset::new(round);
-                tables[0].set_own(presence("x"), next, &status(round, round));
+                tables[0].set_local(presence("x"), next, &status(round, round));
             }
             let (from, to) = paths[random.random_range(0..paths.len())];
             let (from, to) = match random.random_bool(0.5) {
                 true => (from, to),
                 false => (to, from),
             };
-            let mut items = tables[from].beat(&names[to], 1_000);
+            let mut items = tables[from].heartbeat_items(&names[to], 1_000);
             items.shuffle(&mut random);
             late.push((from, to, items));
             if late.len() > 3 {
                 let (from, to, items) = late.swap_remove(random.random_range(0..late.len()));
                 for item in items {
-                    tables[to].take(&names[from], &item);
+                    tables[to].merge(&names[from], &item);
                 }
             }
         }
         for (from, to, items) in late.into_iter().rev() {
             for item in items {
-                tables[to].take(&names[from], &item);
+                tables[to].merge(&names[from], &item);
             }
         }
         for _ in 0..10 {
             for (from, to) in paths {
-                for item in tables[from].beat(&names[to], 1_000) {
-                    tables[to].take(&names[from], &item);
+                for item in tables[from].heartbeat_items(&names[to], 1_000) {
+                    tables[to].merge(&names[from], &item);
                 }
             }
         }
@@ -277,7 +277,7 @@
         for member in &self.members {
             let table = self.tables.get_mut(&member.instance).expect("known");
             let presence = presence(member.failure_domain.as_str());
-            table.set_own(presence, LogOffset::new(round), &status(round, round));
+            table.set_local(presence, LogOffset::new(round), &status(round, round));
         }
         let mut links: Vec<(InstanceId, InstanceId)> = Vec::new();
         for (own, plan) in &self.plans {
@@ -286,10 +286,10 @@
         links.shuffle(&mut self.random);
         for (from, to) in links {
             let sender = self.tables.get_mut(&from).expect("known");
-            let items = sender.beat(&to, TIGHT_BUDGET);
+            let items = sender.heartbeat_items(&to, TIGHT_BUDGET);
             let receiver = self.tables.get_mut(&to).expect("known");
             for item in items {
-                receiver.take(&from, &item);
+                receiver.merge(&from, &item);
             }
         }
     }
@@ -344,13 +344,13 @@
     let peer = instance("peer");
     let mut table = MemberTable::new(instance("own"), 1);
     let start = ClockTime::from_millis(10_000);
-    table.list(start, &[listing("peer")]);
+    table.update_listings(start, &[listing("peer")]);
     assert!(!table.is_suspected(start, &peer));
-    table.hear(start, &peer, &[]);
+    table.receive(start, &peer, &[]);
     let later = start + HEARTBEAT_TIMEOUT + TimeSpan::from_millis(1);
-    table.list(later, &[listing("peer")]);
+    table.update_listings(later, &[listing("peer")]);
     assert!(table.is_suspected(later, &peer));
-    table.hear(later, &peer, &[]);
+    table.receive(later, &peer, &[]);
     assert!(!table.is_suspected(later, &peer));
 }
 
@@ -363,20 +363,20 @@
     let start = ClockTime::from_millis(5_000);
     let mut table = MemberTable::new(instance("own"), 1);
     let lost = instance("lost");
-    table.list(start, &[listing("lost")]);
-    table.expect(start, std::slice::from_ref(&lost));
-    let in_time = start + REACH_TIMEOUT;
-    table.list(in_time, &[listing("lost")]);
-    table.expect(in_time, std::slice::from_ref(&lost));
+    table.update_listings(start, &[listing("lost")]);
+    table.set_expected_links(start, std::slice::from_ref(&lost));
+    let in_time = start + FIRST_HEARTBEAT_TIMEOUT;
+    table.update_listings(in_time, &[listing("lost")]);
+    table.set_expected_links(in_time, std::slice::from_ref(&lost));
     assert!(!table.is_suspected(in_time, &lost));
     let late = in_time + TimeSpan::from_millis(1);
-    table.list(late, &[listing("lost")]);
-    table.expect(late, std::slice::from_ref(&lost));
+    table.update_listings(late, &[listing("lost")]);
+    table.set_expected_links(late, std::slice::from_ref(&lost));
     assert!(table.is_suspected(late, &lost));
-    table.expect(late, &[]);
+    table.set_expected_links(late, &[]);
     assert!(!table.is_suspected(late, &lost), "nobody waits for it");
-    table.expect(late, std::slice::from_ref(&lost));
-    table.hear(late, &lost, &[]);
+    table.set_expected_links(late, std::slice::from_ref(&lost));
+    table.receive(late, &lost, &[]);
     assert!(!table.is_suspected(late + HEARTBEAT_TIMEOUT, &lost));
 }
 
@@ -400,14 +400,14 @@
 struct KnowledgeFleet {
     time: u64,
     stands_at: Vec<u64>,
-    a: LogKnowledge,
+    a: LogFreshness,
     a_next: u64,
-    b: LogKnowledge,
+    b: LogFreshness,
     b_next: u64,
     reads: Vec<(u64, u64, u64)>,
     stamps: Vec<(u64, u64)>,
     last_stamp: Option<u64>,
-    beats: Vec<(u64, u64, TimeSpan, u64)>,
+    heartbeats: Vec<(u64, u64, TimeSpan, u64)>,
     claims: u64,
 }
 
@@ -419,14 +419,14 @@
         KnowledgeFleet {
             time: 10_000,
             stands_at: Vec::new(),
-            a: LogKnowledge::new(),
+            a: LogFreshness::new(),
             a_next: 0,
-            b: LogKnowledge::new(),
+            b: LogFreshness::new(),
             b_next: 0,
             reads: Vec::new(),
             stamps: Vec::new(),
             last_stamp: None,
-            beats: Vec::new(),
+            heartbeats: Vec::new(),
             claims: 0,
         }
     }
@@ -458,7 +458,7 @@
                 let age = self.a.age(self.a_now());
                 if let (Some(age), Some(stamp)) = (age, self.last_stamp) {
                     let arrives = self.time + random.random_range(0..3_000);
-                    self.beats.push((arrives, stamp, age, self.a_next));
+                    self.heartbeats.push((arrives, stamp, age, self.a_next));
                 }
             }
             // A and B apply entries.
@@ -476,7 +476,7 @@
     fn deliver(&mut self) {
         let time = self.time;
         for (_, asked, end) in self.reads.extract_if(.., |read| read.0 <= time) {
-            let confirmation = EndConfirmation {
+            let confirmation = LogEndConfirmation {
                 at: ClockTime::from_millis(A_ORIGIN + asked),
                 end: LogOffset::new(end),
             };
@@ -485,9 +485,13 @@
         for (_, stamp) in self.stamps.extract_if(.., |stamp| stamp.0 <= time) {
             self.last_stamp = self.last_stamp.max(Some(stamp));
         }
-        for (_, stamp, age, next) in self.beats.extract_if(.., |beat| beat.0 <= time) {
+        for (_, stamp, age, next) in self
+            .heartbeats
+            .extract_if(.., |heartbeat| heartbeat.0 <= time)
+        {
             let echoed = ClockTime::from_millis(B_ORIGIN + stamp);
-            let confirmation = EndConfirmation::with_heartbeat(echoed, age, LogOffset::new(next));
+            let confirmation =
+                LogEndConfirmation::with_heartbeat(echoed, age, LogOffset::new(next));
             self.b.confirm(confirmation, LogOffset::new(self.b_next));
         }
     }
--- a/crates/core/tests/orders_schedules.rs
+++ b/crates/core/tests/orders_schedules.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 use bluebell_core::{
-    authority::{DutyGrant, DutyKeeper, DutySeat, HeldLease, LeaseTiming},
+    authority::{DutyCandidacy, DutyGrant, HeldLease, LeaseManager, LeaseTiming},
     clock::{ClockTime, TimeSpan},
     ids::{EndpointId, FailureDomain, InstanceId, LogOffset, ModelName, OrderId, WriterId},
     orders::{EffectView, EngineView, OrderRule, OrderRun, OrderStep, SendAnswer},
@@ -129,7 +129,7 @@
     clock_origin: u64,
     clock_rate: u64,
     view: FleetView,
-    keeper: DutyKeeper,
+    keeper: LeaseManager,
     sequence: u64,
     orders: u64,
     run: Option<OrderRun>,
@@ -146,7 +146,7 @@
             clock_origin: rng.random_range(0..1_000_000),
             clock_rate: rng.random_range(980..=1_020),
             view: FleetView::new(),
-            keeper: DutyKeeper::new(InstanceId::new(name).expect("valid"), timing()),
+            keeper: LeaseManager::new(InstanceId::new(name).expect("valid"), timing()),
             sequence: 0,
             orders: 0,
             run: None,
@@ -307,7 +307,7 @@
 
     fn decide(&mut self, time: u64, controller: &mut Controller) {
         let now = controller.now(time);
-        let seat = DutySeat {
+        let seat = DutyCandidacy {
             duty: duty(),
             rank: controller.rank,
             busy: controller.run.is_some(),
--- a/crates/core/tests/placement_engines.rs
+++ b/crates/core/tests/placement_engines.rs
@@ -52,7 +52,7 @@
         memory: TokenCount::new(465_010),
         token_bytes: ByteSize::new(18_432),
         link_bytes_per_ms: 68_750_000,
-        handle_life: TimeSpan::from_secs(5),
+        handle_lifetime: TimeSpan::from_secs(5),
         stage_switch: TimeSpan::from_secs(3),
     }
 }
--- a/crates/core/tests/provision.rs
+++ b/crates/core/tests/provision.rs
@@ -66,9 +66,9 @@
         Rules {
             service: service(),
             scaling: ScalingRule {
-                least: 1,
-                most: 8,
-                boot: TimeSpan::from_millis(4_000),
+                min_endpoints: 1,
+                max_endpoints: 8,
+                startup_time: TimeSpan::from_millis(4_000),
                 preemptible_price: Some(0.18),
                 domain_prices: BTreeMap::new(),
             },
@@ -77,7 +77,7 @@
                 memory: TokenCount::new(465_010),
                 token_bytes: ByteSize::new(18_432),
                 link_bytes_per_ms: 68_750_000,
-                handle_life: TimeSpan::from_secs(5),
+                handle_lifetime: TimeSpan::from_secs(5),
                 stage_switch: TimeSpan::from_secs(3),
             },
         }
--- a/crates/core/tests/relay.rs
+++ b/crates/core/tests/relay.rs
@@ -4,8 +4,9 @@
     clock::{ClockTime, TimeSpan},
     ids::{InstanceId, LogOffset},
     relay::{
-        AdvertisedConfiguration, ConfigurationAdvert, CopyPlace, CopyState, DIFFERENCE_PATIENCE,
-        DifferenceWatch, EchoedStamp, VersionSource, is_reader, told_limit,
+        AdvertisedConfiguration, CopyLocation, CopyState, DIGEST_MISMATCH_TIMEOUT,
+        DigestMismatchTimer, EchoedTimestamp, VersionAdvertisement, VersionSource, is_reader,
+        relay_age_limit,
     },
     units::ByteSize,
 };
@@ -31,7 +32,7 @@
     // An instance is suspended for six seconds while datagrams of its reader lie in
     // its buffer. It wakes and reads them: they say that all keys were fresh 0.3 s
     // ago. Counted from now, a key that was withdrawn meanwhile would work.
-    let asked = EchoedStamp {
+    let asked = EchoedTimestamp {
         sent: ClockTime::from_millis(1_000),
     };
     let known_at = asked.known_at(TimeSpan::from_millis(300));
@@ -45,21 +46,21 @@
     // The reader is turned away by the store and tells nothing new. A configuration
     // must be in force 2 s after its acknowledgement here, too.
     for bound in [2_000, 3_000, 5_000] {
-        let limit = told_limit(TimeSpan::from_millis(bound));
+        let limit = relay_age_limit(TimeSpan::from_millis(bound));
         assert!(limit.as_millis() + 500 <= bound, "{limit}");
     }
 }
 
 #[test]
 fn pictures_that_go_on_differing_are_read_whole() {
-    let mut watch = DifferenceWatch::new();
+    let mut watch = DigestMismatchTimer::new();
     let now = ClockTime::from_millis(0);
     assert!(!watch.compare(now, 1, 2));
     assert!(!watch.compare(now + TimeSpan::from_millis(300), 1, 2));
     // What was on its way has come.
     assert!(!watch.compare(now + TimeSpan::from_millis(600), 2, 2));
     assert!(!watch.compare(now + TimeSpan::from_millis(700), 2, 3));
-    let late = now + TimeSpan::from_millis(700) + DIFFERENCE_PATIENCE;
+    let late = now + TimeSpan::from_millis(700) + DIGEST_MISMATCH_TIMEOUT;
     assert!(watch.compare(late, 2, 3));
     watch.reset();
     assert!(!watch.compare(late, 2, 3));
@@ -69,8 +70,8 @@
     ClockTime::from_millis(millis)
 }
 
-fn advert(version: u64, known_at: u64, copy: CopyState) -> ConfigurationAdvert {
-    ConfigurationAdvert {
+fn advertisement(version: u64, known_at: u64, copy: CopyState) -> VersionAdvertisement {
+    VersionAdvertisement {
         version,
         known_at: at(known_at),
         next: LogOffset::new(version),
@@ -78,8 +79,8 @@
     }
 }
 
-fn place(offset: u64) -> CopyPlace {
-    CopyPlace {
+fn place(offset: u64) -> CopyLocation {
+    CopyLocation {
         offset: LogOffset::new(offset),
         records: 2,
         size: ByteSize::new(300_000),
@@ -90,14 +91,14 @@
 #[test]
 fn a_copy_that_is_being_made_is_waited_for_but_not_for_long() {
     let mut advertised = AdvertisedConfiguration::new();
-    assert!(advertised.note(at(1_000), advert(7, 900, CopyState::Pending)));
-    assert_eq!(advertised.source(at(1_100)), VersionSource::Awaited);
-    assert!(!advertised.note(at(1_250), advert(7, 1_200, CopyState::Pending)));
+    assert!(advertised.note_advertisement(at(1_000), advertisement(7, 900, CopyState::Pending)));
+    assert_eq!(advertised.source(at(1_100)), VersionSource::Pending);
+    assert!(!advertised.note_advertisement(at(1_250), advertisement(7, 1_200, CopyState::Pending)));
     assert_eq!(advertised.known_at(), at(1_200));
-    assert_eq!(advertised.source(at(1_699)), VersionSource::Awaited);
+    assert_eq!(advertised.source(at(1_699)), VersionSource::Pending);
     assert_eq!(advertised.source(at(1_700)), VersionSource::Original);
     let stands = CopyState::Available(place(4));
-    assert!(advertised.note(at(1_800), advert(7, 1_750, stands)));
+    assert!(advertised.note_advertisement(at(1_800), advertisement(7, 1_750, stands)));
     assert_eq!(advertised.source(at(1_800)), VersionSource::Copy(place(4)));
 }
 
@@ -107,15 +108,18 @@
 fn a_copy_that_failed_is_left_and_the_next_one_is_used() {
     let mut advertised = AdvertisedConfiguration::new();
     let stands = CopyState::Available(place(4));
-    advertised.note(at(1_000), advert(7, 900, stands));
+    advertised.note_advertisement(at(1_000), advertisement(7, 900, stands));
     advertised.note_failed_copy();
     assert_eq!(advertised.source(at(1_100)), VersionSource::Original);
-    assert!(!advertised.note(at(1_200), advert(7, 1_100, stands)));
+    assert!(!advertised.note_advertisement(at(1_200), advertisement(7, 1_100, stands)));
     assert_eq!(advertised.source(at(1_200)), VersionSource::Original);
-    assert!(advertised.note(at(1_300), advert(9, 1_200, CopyState::Available(place(8)))));
+    assert!(advertised.note_advertisement(
+        at(1_300),
+        advertisement(9, 1_200, CopyState::Available(place(8)))
+    ));
     assert_eq!(advertised.source(at(1_300)), VersionSource::Copy(place(8)));
     // A reader that is behind takes nothing back.
-    assert!(!advertised.note(at(1_400), advert(7, 1_300, CopyState::Absent)));
+    assert!(!advertised.note_advertisement(at(1_400), advertisement(7, 1_300, CopyState::Absent)));
     assert_eq!(advertised.version(), 9);
 }
 
@@ -124,13 +128,13 @@
 fn an_instance_with_the_advertised_version_follows_from_the_reader_s_offset() {
     let mut advertised = AdvertisedConfiguration::new();
     assert_eq!(advertised.resume_offset(None), None);
-    advertised.note(at(1_000), advert(7, 900, CopyState::Absent));
+    advertised.note_advertisement(at(1_000), advertisement(7, 900, CopyState::Absent));
     assert_eq!(advertised.resume_offset(Some(7)), Some(LogOffset::new(7)));
     assert_eq!(advertised.resume_offset(Some(6)), None);
-    let further = ConfigurationAdvert {
+    let further = VersionAdvertisement {
         next: LogOffset::new(12),
-        ..advert(7, 1_100, CopyState::Absent)
+        ..advertisement(7, 1_100, CopyState::Absent)
     };
-    advertised.note(at(1_200), further);
+    advertised.note_advertisement(at(1_200), further);
     assert_eq!(advertised.resume_offset(Some(7)), Some(LogOffset::new(12)));
 }
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -134,7 +134,7 @@
     let method = request.method().as_str();
     let repeatable = context.node.with_view(|view| {
         view.configuration
-            .repeatable(&service, method, &target.path)
+            .is_repeatable(&service, method, &target.path)
     });
     let kind = match repeatable {
         true => WorkKind::Repeatable,
--- a/crates/entry/src/traffic_feed.rs
+++ b/crates/entry/src/traffic_feed.rs
@@ -160,7 +160,7 @@
     memory.peers = known;
     for peer in peers {
         let outstanding: Vec<PeerOutstanding> = peer.status.loads.iter().map(outstanding).collect();
-        let heard_at = peer.heard_at.unwrap_or(now);
+        let heard_at = peer.last_seen.unwrap_or(now);
         state
             .router
             .note_peer(heard_at, &peer.instance, &outstanding);
--- a/crates/ingress/src/believe/configuration.rs
+++ b/crates/ingress/src/believe/configuration.rs
@@ -10,7 +10,7 @@
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
     ids::LogOffset,
-    ingress::AcceptedVersion,
+    ingress::OfferOutcome,
     units::ByteSize,
 };
 use bluebell_daemon::logs::LogLine;
@@ -161,7 +161,7 @@
     }
     let accepted = context.belief.lock().offer(configuration);
     match accepted {
-        AcceptedVersion::Newer => {
+        OfferOutcome::Newer => {
             context.wake.notify_waiters();
             if is_copied {
                 let value = Bytes::copy_from_slice(value);
@@ -176,8 +176,8 @@
                 .with("outcome", "in_force")
                 .info();
         }
-        AcceptedVersion::Same => {}
-        AcceptedVersion::Older => LogLine::new("configuration")
+        OfferOutcome::Same => {}
+        OfferOutcome::Older => LogLine::new("configuration")
             .with("version", version)
             .with("outcome", "older_than_in_force")
             .info(),
--- a/crates/ingress/src/believe/copies.rs
+++ b/crates/ingress/src/believe/copies.rs
@@ -10,7 +10,7 @@
 use bluebell_core::{
     clock::TimeSpan,
     ids::LogOffset,
-    relay::{COPY_THRESHOLD, CopyPlace, CopyState, VersionSource},
+    relay::{COPY_THRESHOLD, CopyLocation, CopyState, VersionSource},
     units::ByteSize,
 };
 use bluebell_daemon::logs::LogLine;
@@ -124,7 +124,7 @@
     context: &EntryContext,
     version: u64,
     value: &[u8],
-) -> Result<CopyPlace, CopyError> {
+) -> Result<CopyLocation, CopyError> {
     let packed = Bytes::from(pack(value)?);
     let copy = Bytes::from(CopyRecord { version, packed }.encode_to_vec());
     let starts = (0..copy.len()).step_by(RECORD_BYTES);
@@ -133,7 +133,7 @@
         .collect();
     let appended = context.store.append(PART, None, &records, READ_TIMEOUT);
     match appended.await? {
-        AppendAnswer::Appended { offset } => Ok(CopyPlace {
+        AppendAnswer::Appended { offset } => Ok(CopyLocation {
             offset,
             records: records.len() as u32,
             size: ByteSize::new(copy.len() as u64),
@@ -173,7 +173,7 @@
 async fn read(
     context: &EntryContext,
     version: u64,
-    place: CopyPlace,
+    place: CopyLocation,
 ) -> Result<Vec<u8>, CopyError> {
     let wait = TimeSpan::ZERO;
     let answer = context
--- a/crates/ingress/src/believe/endpoints.rs
+++ b/crates/ingress/src/believe/endpoints.rs
@@ -118,7 +118,7 @@
     }
     let now = context.now();
     let known = |id: &EndpointId| listed.contains(id);
-    let missing = context.directory.lock().keep_only(now, known);
+    let missing = context.directory.lock().retain_listed(now, known);
     for id in missing {
         forget_if_gone(context, &id);
     }
@@ -153,7 +153,7 @@
 
 fn note_return(context: &EntryContext) {
     let now = context.now();
-    context.directory.lock().note_return(now);
+    context.directory.lock().note_answer(now);
 }
 
 fn endpoint_id(key: &[u8]) -> Option<EndpointId> {
@@ -208,7 +208,7 @@
 /// Lets the other instances of the failure domain know, if this one reads for it.
 fn tell(context: &EntryContext, id: &EndpointId, value: Option<&[u8]>) {
     let now = context.now();
-    let kept_for = context.directory.lock().kept_for(now, id);
+    let kept_for = context.directory.lock().remaining_grace(now, id);
     let change = ChangeMessage {
         endpoint: id.to_string(),
         value: value.map(<[u8]>::to_vec),
@@ -254,7 +254,7 @@
     let outcome = format!("{change:?}");
     let counter = &context.metrics.registrations_gone;
     counter.with_label_values(&[outcome.as_str()]).inc();
-    let kept_for = context.directory.lock().kept_for(context.now(), id);
+    let kept_for = context.directory.lock().remaining_grace(context.now(), id);
     let mut line = LogLine::new("endpoint")
         .with("endpoint", id)
         .with("change", outcome)
@@ -276,7 +276,7 @@
 
 fn drop_lapsed(context: &EntryContext) {
     let now = context.now();
-    let lapsed = context.directory.lock().advance(now);
+    let lapsed = context.directory.lock().remove_expired(now);
     for id in lapsed {
         LogLine::new("endpoint")
             .with("endpoint", &id)
--- a/crates/ingress/src/context.rs
+++ b/crates/ingress/src/context.rs
@@ -7,10 +7,10 @@
     clock::{ClockSource, ClockTime, TimeSpan},
     directory::EndpointDirectory,
     ids::LogOffset,
-    ingress::ConfigurationBelief,
+    ingress::ConfigurationTracker,
     placement::{EngineBooks, ReplicaBooks},
     provision::DemandBoard,
-    relay::{AdvertisedConfiguration, DifferenceWatch},
+    relay::{AdvertisedConfiguration, DigestMismatchTimer},
     retries::{SharedAllowance, SharedBudget},
     routing::RoutingSettings,
     usage::{MeterWriter, UsageMeter},
@@ -72,7 +72,7 @@
     /// When the picture of the endpoints was last known to be whole.
     pub endpoints_known_at: Option<ClockTime>,
     /// Whether our picture of the endpoints differs from the reader's.
-    pub difference: DifferenceWatch,
+    pub difference: DigestMismatchTimer,
     /// Whether the endpoints have to be read whole.
     pub must_resync: bool,
 }
@@ -91,7 +91,7 @@
     /// Control calls to engines.
     pub engine_client: EngineClient,
     /// The configuration in force.
-    pub belief: Shared<ConfigurationBelief>,
+    pub belief: Shared<ConfigurationTracker>,
     /// The endpoints.
     pub directory: Shared<EndpointDirectory>,
     /// The engines' queues and memories.
@@ -155,7 +155,7 @@
             writer,
             store,
             engine_client,
-            belief: Shared::new(ConfigurationBelief::new()),
+            belief: Shared::new(ConfigurationTracker::new()),
             directory: Shared::new(directory),
             engines: Shared::new(EngineBooks::new(routing.clone()).with_seed(seed)),
             demands: Shared::new(DemandBoard::new()),
--- a/crates/ingress/src/forward/generate.rs
+++ b/crates/ingress/src/forward/generate.rs
@@ -287,7 +287,7 @@
     /// The share of an engine that the request takes while it runs.
     fn run_share(&self) -> f64 {
         let tokens = self.work.prompt + self.work.output;
-        self.rule().map_or(0.0, |rule| rule.run_share(tokens))
+        self.rule().map_or(0.0, |rule| rule.capacity_share(tokens))
     }
 
     fn ask(&self) -> Result<PlanRequest<'_>, FailedTry> {
@@ -482,7 +482,7 @@
             421 if is_gone => {
                 engines.remove_engine(&target.id);
                 drop(engines);
-                self.context.directory.lock().drop_endpoint(&target.id);
+                self.context.directory.lock().remove_endpoint(&target.id);
             }
             421 => engines.wrong_stage(&target.id),
             _ => engines.refused(now, &target.id),
--- a/crates/ingress/src/forward/plain.rs
+++ b/crates/ingress/src/forward/plain.rs
@@ -90,7 +90,7 @@
     fn choose(&mut self) -> Option<EndpointTarget> {
         let now = self.context.now();
         let directory = self.context.directory.lock();
-        let open = directory.open_for(&self.request.service);
+        let open = directory.available_for(&self.request.service);
         let choice = self
             .context
             .replicas
@@ -125,7 +125,7 @@
             AttemptEnd::NotExecuted { status, is_gone } => {
                 self.attempts.refused_before_running(permit);
                 if is_gone {
-                    self.context.directory.lock().drop_endpoint(&target.id);
+                    self.context.directory.lock().remove_endpoint(&target.id);
                 }
                 guard.failed();
                 NextStep::TryElsewhere(RefusalReason::EndpointsFull, format!("status {status}"))
--- a/crates/ingress/src/peers/messages.rs
+++ b/crates/ingress/src/peers/messages.rs
@@ -7,7 +7,7 @@
     ids::{FailureDomain, LogOffset, ServiceName},
     placement::{EngineLoad, RANKS, ToldLoad, ToldPart},
     provision::EngineDemand,
-    relay::{CopyPlace, CopyState},
+    relay::{CopyLocation, CopyState},
     units::ByteSize,
     usage::MeterWriter,
 };
@@ -256,7 +256,7 @@
         match message {
             None => CopyState::Absent,
             Some(message) if message.records == 0 => CopyState::Pending,
-            Some(message) => CopyState::Available(CopyPlace {
+            Some(message) => CopyState::Available(CopyLocation {
                 offset: LogOffset::new(message.offset),
                 records: message.records,
                 size: ByteSize::new(message.size),
--- a/crates/ingress/src/peers/relay.rs
+++ b/crates/ingress/src/peers/relay.rs
@@ -3,7 +3,7 @@
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
     ids::{EndpointId, InstanceId, LogOffset},
-    relay::{ConfigurationAdvert, VersionSource, told_limit},
+    relay::{VersionAdvertisement, VersionSource, relay_age_limit},
 };
 use bluebell_daemon::logs::LogLine;
 
@@ -32,7 +32,7 @@
     /// Whether the knowledge of keys is too old to be anybody's word.
     pub fn must_read_keys_by_age(&self) -> bool {
         let now = self.now();
-        let limit = told_limit(self.settings.bounds.configuration);
+        let limit = relay_age_limit(self.settings.bounds.configuration);
         !self.belief.lock().is_fresh(now, limit)
     }
 
@@ -42,7 +42,7 @@
     pub fn must_read_keys(&self) -> bool {
         let advertised = self.relayed.lock().configuration;
         let is_behind = self.belief.lock().version() < Some(advertised.version());
-        let is_available = advertised.source(self.now()) != VersionSource::Awaited;
+        let is_available = advertised.source(self.now()) != VersionSource::Pending;
         self.must_read_keys_by_age() || (is_behind && is_available) || self.is_reader()
     }
 
@@ -51,7 +51,7 @@
         let now = self.now();
         let relayed = self.relayed.lock();
         let known_at = relayed.endpoints_known_at;
-        let limit = told_limit(self.settings.bounds.leaving);
+        let limit = relay_age_limit(self.settings.bounds.leaving);
         let is_old = known_at.is_none_or(|at| now.since(at) >= limit);
         let differs = relayed.must_resync;
         drop(relayed);
@@ -106,7 +106,7 @@
     let keys_known_at = echo.known_at(TimeSpan::from_millis(relay.keys_age_ms));
     let endpoints_known_at = echo.known_at(TimeSpan::from_millis(relay.endpoints_age_ms));
     // Before the changes: whether a registration can have lapsed depends on it.
-    context.directory.lock().note_return(endpoints_known_at);
+    context.directory.lock().note_answer(endpoints_known_at);
     match relay.changes() {
         Ok(changes) => {
             for change in &changes {
@@ -127,13 +127,13 @@
     if relay.version > relayed.configuration.version() {
         note_advertised_version(context, peer, relay.version);
     }
-    let advert = ConfigurationAdvert {
+    let advert = VersionAdvertisement {
         version: relay.version,
         known_at: keys_known_at,
         next: LogOffset::new(relay.configuration_next),
         copy: CopyMessage::state(relay.copy.as_ref()),
     };
-    if relayed.configuration.note(now, advert) {
+    if relayed.configuration.note_advertisement(now, advert) {
         context.wake.notify_waiters();
     }
     if relayed.difference.compare(now, digest, relay.digest) {
--- a/crates/ingress/src/peers/table.rs
+++ b/crates/ingress/src/peers/table.rs
@@ -8,7 +8,7 @@
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
     ids::{FailureDomain, InstanceId},
-    relay::{self, EchoedStamp},
+    relay::{self, EchoedTimestamp},
 };
 use serde::Serialize;
 
@@ -287,8 +287,8 @@
 
     /// The stamp of ours that a peer names in its word; a peer that has not heard
     /// us yet names none.
-    pub fn echoed(echo: u64) -> Option<EchoedStamp> {
-        (echo > 0).then_some(EchoedStamp {
+    pub fn echoed(echo: u64) -> Option<EchoedTimestamp> {
+        (echo > 0).then_some(EchoedTimestamp {
             sent: ClockTime::from_millis(echo),
         })
     }
--- a/crates/ingress/src/steward/duty.rs
+++ b/crates/ingress/src/steward/duty.rs
@@ -10,9 +10,9 @@
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
     ids::LogOffset,
+    leadership::{LEADER_HEARTBEAT_INTERVAL, LeaderGrant, LeadershipState},
     provision::ProvisionPlanner,
     records::UsageWindow,
-    stewardship::{STEWARD_BEAT, StewardGrant, StewardSeat},
     usage::{MeteredCounts, UsageLedger},
 };
 use bluebell_daemon::logs::LogLine;
@@ -57,7 +57,7 @@
 pub struct StewardDuty {
     pub(super) context: Arc<EntryContext>,
     pub(super) client: DutyClient,
-    seat: StewardSeat,
+    seat: LeadershipState,
     /// Figures that were frozen, by this steward or one before it.
     frozen: BTreeMap<UsageWindow, MeteredCounts>,
     reported: Option<UsageWindow>,
@@ -74,7 +74,7 @@
     /// A process that knows nothing yet.
     pub fn new(context: Arc<EntryContext>, client: DutyClient) -> StewardDuty {
         let lease = context.settings.bounds.lease;
-        let seat = StewardSeat::new(context.now(), context.writer.clone(), lease);
+        let seat = LeadershipState::new(context.now(), context.writer.clone(), lease);
         let started = UsageWindow::at(wall_time(), context.settings.bounds.usage_window);
         StewardDuty {
             context,
@@ -110,7 +110,7 @@
             tokio::time::sleep(STEP).await;
             return Ok(());
         }
-        if !self.seat.is_steward() {
+        if !self.seat.is_leader() {
             // Only readers stand for it: each candidate has to follow the topic.
             if !self.context.is_reader() {
                 tokio::time::sleep(STEP).await;
@@ -128,7 +128,10 @@
             return self.provide(steps).await;
         }
         let now = self.context.now();
-        if self.beat_at.is_none_or(|at| now.since(at) >= STEWARD_BEAT) {
+        if self
+            .beat_at
+            .is_none_or(|at| now.since(at) >= LEADER_HEARTBEAT_INTERVAL)
+        {
             return self.append(None).await.map(drop);
         }
         tokio::time::sleep(STEP).await;
@@ -139,16 +142,16 @@
     async fn wait_for_silence(&mut self) -> Result<(), CallError> {
         let wait = match self.seat.end() {
             None => TimeSpan::ZERO,
-            Some(_) => READ_WAIT.min(self.seat.patience_left(self.context.now())),
+            Some(_) => READ_WAIT.min(self.seat.takeover_wait(self.context.now())),
         };
         self.read(wait).await?;
-        if !self.seat.is_steward() && self.seat.may_append(self.context.now()) {
+        if !self.seat.is_leader() && self.seat.may_append(self.context.now()) {
             self.append(None).await?;
-            if self.seat.is_steward() {
+            if self.seat.is_leader() {
                 LogLine::new("steward").with("outcome", "taken_over").info();
             }
         }
-        if self.seat.steward().is_none() {
+        if self.seat.leader().is_none() {
             tokio::time::sleep(STEP).await;
         }
         Ok(())
@@ -298,7 +301,7 @@
             && !pending.any(|peer| peers.is_spoken_for(now, domain, peer))
     }
 
-    pub(super) fn authority(&self, grant: &StewardGrant) -> DutyAuthority {
+    pub(super) fn authority(&self, grant: &LeaderGrant) -> DutyAuthority {
         DutyAuthority {
             holder: self.context.writer.instance.clone(),
             fence: grant.fence,
@@ -310,7 +313,7 @@
     pub(super) async fn append(
         &mut self,
         frozen: Option<WindowCounts>,
-    ) -> Result<Option<StewardGrant>, CallError> {
+    ) -> Result<Option<LeaderGrant>, CallError> {
         let record = StewardRecord {
             instance: self.context.writer.instance.to_string(),
             start: self.context.writer.start,
--- a/crates/ingress/src/steward/provide.rs
+++ b/crates/ingress/src/steward/provide.rs
@@ -7,8 +7,8 @@
 use bluebell_core::{
     directory::EngineStage,
     ids::EndpointId,
+    leadership::LeaderGrant,
     provision::{ProvisionService, ProvisionStep},
-    stewardship::StewardGrant,
 };
 use bluebell_daemon::logs::LogLine;
 
@@ -96,7 +96,7 @@
 
     async fn order_count(
         &self,
-        grant: &StewardGrant,
+        grant: &LeaderGrant,
         step: &ProvisionStep,
     ) -> Result<String, CallError> {
         let ProvisionStep::Count {
@@ -141,7 +141,7 @@
 
     async fn order_stage(
         &self,
-        grant: &StewardGrant,
+        grant: &LeaderGrant,
         step: &ProvisionStep,
     ) -> Result<String, CallError> {
         let ProvisionStep::Stage {
--- a/crates/lab/src/slopes/gossip.rs
+++ b/crates/lab/src/slopes/gossip.rs
@@ -137,7 +137,7 @@
             let own = presence(&member.plan);
             member
                 .table
-                .set_own(own, next, &status(number as u64, beat));
+                .set_local(own, next, &status(number as u64, beat));
         }
         for sender in 0..members.len() {
             for receiver in &neighbours[sender] {
@@ -147,7 +147,7 @@
                 *credit = (*credit + NEWS_BYTES / links.max(1)).min(MAX_NEWS);
                 let mut items = Vec::new();
                 if *credit >= MIN_NEWS {
-                    items = members[sender].table.beat(&to, *credit);
+                    items = members[sender].table.heartbeat_items(&to, *credit);
                     let bytes = news_bytes(&plans[sender].instance, &items);
                     *credit = credit.saturating_sub(bytes);
                 }
@@ -155,7 +155,9 @@
                     sent[sender] += frame_bytes(&plans[sender].instance, &items);
                 }
                 for item in &items {
-                    members[*receiver].table.take(&plans[sender].instance, item);
+                    members[*receiver]
+                        .table
+                        .merge(&plans[sender].instance, item);
                 }
             }
         }
--- a/crates/node/src/apply.rs
+++ b/crates/node/src/apply.rs
@@ -3,7 +3,7 @@
 use bluebell_core::{
     clock::ClockTime,
     ids::LogOffset,
-    membership::EndConfirmation,
+    membership::LogEndConfirmation,
     records::{LogEntry, LogRecord},
     view::{FleetView, ViewEvent},
 };
@@ -84,7 +84,7 @@
 
     /// Notes a read of the log that was asked for at `asked` and found its end.
     pub(crate) fn note_read(&self, asked: ClockTime, end: LogOffset) {
-        self.confirm(EndConfirmation { at: asked, end });
+        self.confirm(LogEndConfirmation { at: asked, end });
         let now = self.state.clock.now();
         self.state.progress.send_modify(|progress| {
             progress.read_at = Some(now);
@@ -92,7 +92,7 @@
         });
     }
 
-    pub(crate) fn confirm(&self, confirmation: EndConfirmation) {
+    pub(crate) fn confirm(&self, confirmation: LogEndConfirmation) {
         let mut log = self.log();
         let next = log.view.next_offset();
         log.knowledge.confirm(confirmation, next);
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -120,7 +120,7 @@
         let plan = self.state.plan.borrow().clone();
         let progress = self.progress();
         let wanted = *self.state.wanted.borrow();
-        if plan.reads || !progress.caught_up || wanted > progress.next {
+        if plan.is_reader || !progress.caught_up || wanted > progress.next {
             return None;
         }
         if self.freshness().is_none_or(|age| age > RELAY_LAG_LIMIT) {
--- a/crates/node/src/handle.rs
+++ b/crates/node/src/handle.rs
@@ -5,7 +5,7 @@
 use bluebell_core::{
     clock::{ClockSource, ClockTime, TimeSpan},
     ids::{LogOffset, WriterId},
-    membership::{LinkPlan, LocalStatus, LogKnowledge, MemberTable},
+    membership::{LinkPlan, LocalStatus, LogFreshness, MemberTable},
     records::LogRecord,
     view::{FleetView, ViewEvent},
 };
@@ -50,7 +50,7 @@
 pub(crate) struct LogState {
     pub(crate) view: FleetView,
     pub(crate) buffer: RelayBuffer,
-    pub(crate) knowledge: LogKnowledge,
+    pub(crate) knowledge: LogFreshness,
 }
 
 pub(crate) struct NodeState {
@@ -120,7 +120,7 @@
             log: Mutex::new(LogState {
                 view: FleetView::new(),
                 buffer: RelayBuffer::new(),
-                knowledge: LogKnowledge::new(),
+                knowledge: LogFreshness::new(),
             }),
             events: broadcast::Sender::new(EVENT_BACKLOG),
             progress: watch::Sender::new(LogProgress::default()),
@@ -129,7 +129,7 @@
             writer,
             members: Mutex::new(members),
             plan: watch::Sender::new(LinkPlan {
-                reads: true,
+                is_reader: true,
                 ..LinkPlan::default()
             }),
             links: Mutex::new(LinkBoard::new()),
--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -83,7 +83,7 @@
 
     pub(crate) fn note_listings(&self, listings: &[InstanceListing]) {
         let now = self.state.clock.now();
-        self.members().list(now, listings);
+        self.members().update_listings(now, listings);
     }
 
     /// Puts this process's own state into what heartbeats carry.
@@ -97,7 +97,7 @@
             peer_address: listing.peer_address.clone(),
         };
         let next = self.progress().next;
-        self.members().set_own(presence, next, &local);
+        self.members().set_local(presence, next, &local);
     }
 
     /// Makes the plan of connections anew. Readers are chosen among instances
@@ -124,7 +124,7 @@
         let mut plan = LinkPlan::new(&own, &live);
         plan.neighbours.extend(LinkPlan::new(&own, &all).neighbours);
         let expected: Vec<InstanceId> = plan.neighbours.iter().cloned().collect();
-        members.expect(now, &expected);
+        members.set_expected_links(now, &expected);
         drop(members);
         let wanted = listings
             .into_iter()
@@ -155,7 +155,7 @@
             caught_up: progress.caught_up,
             obstacle: self.obstacle(),
             freshness: self.freshness(),
-            reads_log: self.state.plan.borrow().reads,
+            reads_log: self.state.plan.borrow().is_reader,
             links: hold(&self.state.links)
                 .links()
                 .map(|(peer, _)| peer.clone())
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -123,7 +123,7 @@
     let planned = node.state.plan.borrow().neighbours.contains(&peer);
     if last && !planned {
         let now = node.clock().now();
-        node.members().unlink(now, &peer);
+        node.members().remove_link(now, &peer);
     }
 }
 
--- a/crates/node/src/peers/messages.rs
+++ b/crates/node/src/peers/messages.rs
@@ -4,7 +4,7 @@
     checkpoint::{CheckpointWriter, PART_SIZE},
     clock::TimeSpan,
     ids::{InstanceId, LogOffset},
-    membership::EndConfirmation,
+    membership::LogEndConfirmation,
     records::{CheckpointPart, LogRecord},
     view::FleetView,
 };
@@ -85,7 +85,7 @@
         if self.credit < MIN_NEWS {
             return Vec::new();
         }
-        let items = self.node.members().beat(&self.peer, self.credit);
+        let items = self.node.members().heartbeat_items(&self.peer, self.credit);
         let items: Vec<ItemMessage> = items
             .iter()
             .map(|item| ItemMessage::new(own, item))
@@ -109,11 +109,11 @@
         let echoed = heartbeat.echoed(self.node.state.started);
         if let (Some(echoed), Some(age)) = (echoed, heartbeat.age()) {
             self.node
-                .confirm(EndConfirmation::with_heartbeat(echoed, age, next));
+                .confirm(LogEndConfirmation::with_heartbeat(echoed, age, next));
         }
         let items = heartbeat.items.into_iter();
         let items: Vec<_> = items.filter_map(|i| i.into_item(&self.peer)).collect();
-        self.node.members().hear(now, &self.peer, &items);
+        self.node.members().receive(now, &self.peer, &items);
         // Without the log, a peer that is ahead is the only way to learn more.
         if next > self.node.progress().next && self.node.reads_late() {
             self.node.pull(&self.peer);
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -141,7 +141,7 @@
         .map(|name| plan_member(&name, "x"))
         .find(|lost| {
             let others = names.map(|name| plan_member(name, "x"));
-            LinkPlan::new(lost, &others).reads
+            LinkPlan::new(lost, &others).is_reader
         })
         .expect("some name comes first");
     let mut nodes = Vec::new();
