--- a/crates/ingress/src/context.rs
+++ b/crates/ingress/src/context.rs
@@ -19,8 +19,8 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    believe::copies::PublishedCopy, forward::ConnectionPools, metrics::EntryMetrics,
-    peers::PeerTable, steward::ToldUsage,
+    forward::ConnectionPools, leader::PeerUsage, metrics::EntryMetrics, peers::PeerTable,
+    sync::copies::PublishedCopy,
 };
 
 /// How much sooner than the operators ask a key stops working that nothing has
@@ -111,7 +111,7 @@
     /// The copy of the configuration that this instance publishes for the others.
     pub published_copy: Shared<PublishedCopy>,
     /// What other entries of the failure domain counted and is not published.
-    pub told_usage: Shared<ToldUsage>,
+    pub told_usage: Shared<PeerUsage>,
     /// Wakes the followers of the store, and the talk with other instances.
     pub wake: Notify,
     /// Connections to endpoints.
@@ -165,7 +165,7 @@
             peers: Shared::new(PeerTable::new()),
             relayed: Shared::new(RelayedKnowledge::default()),
             published_copy: Shared::new(PublishedCopy::default()),
-            told_usage: Shared::new(ToldUsage::default()),
+            told_usage: Shared::new(PeerUsage::default()),
             wake: Notify::new(),
             pools: ConnectionPools::new(),
             metrics,
@@ -185,7 +185,7 @@
     /// would send that many times what the operators allow.
     pub fn share_budget(&self) {
         let peers = self.peers.lock();
-        if !peers.is_whole(self.now()) {
+        if !peers.is_complete(self.now()) {
             return;
         }
         let entries = peers.len() + 1;
--- a/crates/ingress/src/steward/mod.rs
+++ b/crates/ingress/src/leader/mod.rs
@@ -1,9 +1,9 @@
 //! The duties towards the platform: usage reports and endpoint orders.
 
-mod duty;
-mod provide;
+mod orders;
 mod publish;
 mod records;
+mod task;
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use tokio_util::sync::CancellationToken;
 
 pub use self::{
-    publish::{ToldUsage, take_told_usage, told_usage},
+    publish::{PeerUsage, note_peer_usage, recent_usage},
     records::UsageRecord,
 };
 use crate::context::EntryContext;
@@ -26,7 +26,7 @@
         return;
     };
     let client = DutyClient::new(client.clone(), duties.address);
-    let duty = duty::StewardDuty::new(Arc::clone(context), client);
+    let duty = task::LeaderTask::new(Arc::clone(context), client);
     let token = stop.clone();
     tokio::spawn(async move { token.run_until_cancelled(duty.serve()).await });
 }
--- a/crates/ingress/src/steward/provide.rs
+++ b/crates/ingress/src/leader/orders.rs
@@ -13,11 +13,11 @@
 use bluebell_daemon::logs::LogLine;
 
 use crate::{
+    leader::task::{CALL_TIMEOUT, LeaderTask},
     peers::StageMessage,
-    steward::duty::{CALL_TIMEOUT, StewardDuty},
 };
 
-impl StewardDuty {
+impl LeaderTask {
     /// What is to be ordered now. Nothing, as long as nothing is known to be fresh:
     /// an order from old knowledge could undo what is there.
     pub(super) fn provision_steps(&mut self) -> Vec<ProvisionStep> {
--- a/crates/ingress/src/steward/publish.rs
+++ b/crates/ingress/src/leader/publish.rs
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 
 use crate::{
-    believe::StorePath,
     context::EntryContext,
-    steward::records::{USAGE_PART, UsageRecord, encode},
+    leader::records::{USAGE_PART, UsageRecord, encode},
+    sync::StoreBackoff,
     time::wall_time,
 };
 
@@ -31,7 +31,7 @@
 /// Publishes news for good, in step with the windows: what this entry counted and,
 /// if it reads the store for its failure domain, what the others there told it.
 pub async fn publish(context: Arc<EntryContext>) {
-    let mut path = StorePath::new("usage");
+    let mut backoff = StoreBackoff::new("usage");
     let interval = context.settings.bounds.usage_window.as_millis() / TIMES_A_WINDOW;
     let mut ended = UsageWindow::new(0);
     loop {
@@ -53,7 +53,7 @@
             .append(USAGE_PART, None, &records, APPEND_TIMEOUT);
         match appended.await {
             Ok(AppendAnswer::Appended { .. }) => {
-                path.answered(&context);
+                backoff.note_answer(&context);
                 context.meter.lock().published(&news);
                 let current = current_window(&context).number();
                 ended = ended.max(UsageWindow::new(current.saturating_sub(1)));
@@ -61,7 +61,7 @@
             Ok(AppendAnswer::EndMoved { .. }) => {}
             Err(error) => {
                 context.told_usage.lock().put_back(told);
-                path.failed(&context, &error).await;
+                backoff.wait_after_failure(&context, &error).await;
             }
         }
     }
@@ -71,7 +71,7 @@
 fn is_told(context: &EntryContext) -> bool {
     let (now, domain) = (context.now(), &context.settings.domain);
     let peers = context.peers.lock();
-    let has_reader = peers.hears_domain(now, domain);
+    let has_reader = peers.has_alive_peer_in(now, domain);
     has_reader && !context.must_read_keys_by_age()
 }
 
@@ -96,7 +96,7 @@
 }
 
 /// What this entry counted in the last windows, for the reader to publish.
-pub fn told_usage(context: &EntryContext) -> Option<UsageRecord> {
+pub fn recent_usage(context: &EntryContext) -> Option<UsageRecord> {
     let current = current_window(context);
     let windows = context.meter.lock().last_windows(WINDOWS_TOLD);
     let is_due = !windows.is_empty();
@@ -104,21 +104,21 @@
 }
 
 /// Another entry told what it counted.
-pub fn take_told_usage(context: &EntryContext, usage: &UsageRecord) {
+pub fn note_peer_usage(context: &EntryContext, usage: &UsageRecord) {
     context.told_usage.lock().take_word(usage);
 }
 
 /// What other entries told and is not published yet. Counts are always told in
 /// full, so the last word of each is enough.
 #[derive(Debug, Default)]
-pub struct ToldUsage {
+pub struct PeerUsage {
     /// The last word of each instance.
     words: BTreeMap<String, UsageRecord>,
     /// What was published of each instance.
     published: BTreeMap<String, UsageRecord>,
 }
 
-impl ToldUsage {
+impl PeerUsage {
     fn take_word(&mut self, usage: &UsageRecord) {
         if self.published.get(&usage.instance) != Some(usage) {
             self.words.insert(usage.instance.clone(), usage.clone());
--- a/crates/ingress/src/steward/records.rs
+++ b/crates/ingress/src/leader/records.rs
@@ -16,7 +16,7 @@
 pub const USAGE_PART: TopicPart = TopicPart::first("usage");
 
 /// Where stewards write before they act.
-pub const STEWARD_PART: TopicPart = TopicPart::first("steward");
+pub const LEADER_PART: TopicPart = TopicPart::first("steward");
 
 /// The requests of each organisation in one window.
 #[derive(Clone, PartialEq, Message)]
@@ -48,7 +48,7 @@
 
 /// What a steward is about to do.
 #[derive(Clone, PartialEq, Message)]
-pub struct StewardRecord {
+pub struct LeaderRecord {
     /// The instance.
     #[prost(string, tag = "1")]
     pub instance: String,
--- a/crates/ingress/src/steward/duty.rs
+++ b/crates/ingress/src/leader/task.rs
@@ -19,12 +19,12 @@
 use prost::Message;
 
 use crate::{
-    believe::StorePath,
     context::EntryContext,
-    steward::records::{
-        BaseMessage, STEWARD_PART, StewardRecord, USAGE_PART, UsageRecord, WindowCounts, encode,
+    leader::records::{
+        BaseMessage, LEADER_PART, LeaderRecord, USAGE_PART, UsageRecord, WindowCounts, encode,
         writer,
     },
+    sync::StoreBackoff,
     time::wall_time,
 };
 
@@ -54,7 +54,7 @@
 /// The duties of one process: those of the steward while it is the steward,
 /// waiting for the steward's silence otherwise.
 #[derive(Debug)]
-pub struct StewardDuty {
+pub struct LeaderTask {
     pub(super) context: Arc<EntryContext>,
     pub(super) client: DutyClient,
     seat: StewardSeat,
@@ -70,13 +70,13 @@
     started: UsageWindow,
 }
 
-impl StewardDuty {
+impl LeaderTask {
     /// A process that knows nothing yet.
-    pub fn new(context: Arc<EntryContext>, client: DutyClient) -> StewardDuty {
+    pub fn new(context: Arc<EntryContext>, client: DutyClient) -> LeaderTask {
         let lease = context.settings.bounds.lease;
         let seat = StewardSeat::new(context.now(), context.writer.clone(), lease);
         let started = UsageWindow::at(wall_time(), context.settings.bounds.usage_window);
-        StewardDuty {
+        LeaderTask {
             context,
             client,
             seat,
@@ -93,13 +93,13 @@
 
     /// Serves for good.
     pub async fn serve(mut self) {
-        let mut path = StorePath::new("steward");
+        let mut backoff = StoreBackoff::new("steward");
         loop {
             let step = self.step().await;
             let context = Arc::clone(&self.context);
             match step {
-                Ok(()) => path.answered(&context),
-                Err(error) => path.failed(&context, &error).await,
+                Ok(()) => backoff.note_answer(&context),
+                Err(error) => backoff.wait_after_failure(&context, &error).await,
             }
         }
     }
@@ -160,7 +160,7 @@
         match self
             .context
             .store
-            .read(STEWARD_PART, from, wait, timeout)
+            .read(LEADER_PART, from, wait, timeout)
             .await
         {
             Ok(ReadAnswer::Records { records, end }) => {
@@ -184,7 +184,7 @@
     }
 
     fn take(&mut self, offset: LogOffset, bytes: &[u8]) {
-        let record = match StewardRecord::decode(bytes) {
+        let record = match LeaderRecord::decode(bytes) {
             Ok(record) => record,
             Err(error) => {
                 LogLine::new("steward_record_rejected")
@@ -295,7 +295,7 @@
         let mut pending = self.ledger.pending(window);
         alive.all(|peer| self.ledger.is_complete(peer, window))
             && self.ledger.is_complete(own, window)
-            && !pending.any(|peer| peers.is_spoken_for(now, domain, peer))
+            && !pending.any(|peer| peers.is_represented(now, domain, peer))
     }
 
     pub(super) fn authority(&self, grant: &StewardGrant) -> DutyAuthority {
@@ -311,7 +311,7 @@
         &mut self,
         frozen: Option<WindowCounts>,
     ) -> Result<Option<StewardGrant>, CallError> {
-        let record = StewardRecord {
+        let record = LeaderRecord {
             instance: self.context.writer.instance.to_string(),
             start: self.context.writer.start,
             frozen: frozen.clone(),
@@ -322,9 +322,7 @@
         let sent = self.context.now();
         let records = [encode(&record)];
         let store = &self.context.store;
-        let appended = store
-            .append(STEWARD_PART, end, &records, CALL_TIMEOUT)
-            .await;
+        let appended = store.append(LEADER_PART, end, &records, CALL_TIMEOUT).await;
         match appended {
             Ok(AppendAnswer::Appended { offset }) => {
                 let now = self.context.now();
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -7,16 +7,16 @@
 //! reports usage and orders endpoints ([`steward`]). The decisions are slices of
 //! `bluebell-core`; names and formats of the platform are in `bluebell-adapter`.
 
-pub mod believe;
 pub mod context;
 pub mod forward;
 pub mod front;
 mod hop;
+pub mod leader;
 pub mod logs;
 pub mod metrics;
 mod packing;
 pub mod peers;
 pub mod program;
 pub mod ready;
-pub mod steward;
+pub mod sync;
 pub mod time;
--- a/crates/ingress/src/peers/talk.rs
+++ b/crates/ingress/src/peers/broadcast.rs
@@ -16,14 +16,14 @@
 
 use crate::{
     context::EntryContext,
+    leader::{self, UsageRecord},
     peers::{
-        messages::{DemandMessage, PeerMessage, ReceiverPart, RelayMessage, StageMessage},
-        receivers::{ReceiverChoice, WordReceiver},
-        registry::own_address,
+        messages::{DemandMessage, PeerMessage, PerTargetMessage, RelayMessage, StageMessage},
+        registry::local_address,
         relay,
         table::KnownPeer,
+        targets::{BroadcastTarget, TargetSelector},
     },
-    steward::{self, UsageRecord},
 };
 
 /// How often an entry tells the others what it has, with few of them. A prefill
@@ -54,11 +54,11 @@
 const USAGE_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
 
 /// The talk of one entry.
-pub struct PeerTalk {
+pub struct PeerBroadcaster {
     context: Arc<EntryContext>,
     frames: UdpFramed<BytesCodec>,
     told_at: ClockTime,
-    choice: ReceiverChoice,
+    choice: TargetSelector,
     told_usage_at: ClockTime,
     /// Whether the others last heard that this entry has something.
     has_told_load: bool,
@@ -66,13 +66,13 @@
     silent_domains: BTreeSet<FailureDomain>,
 }
 
-impl PeerTalk {
+impl PeerBroadcaster {
     /// Listens.
-    pub async fn bind(context: Arc<EntryContext>) -> io::Result<PeerTalk> {
-        let socket = UdpSocket::bind(own_address(&context)).await?;
+    pub async fn bind(context: Arc<EntryContext>) -> io::Result<PeerBroadcaster> {
+        let socket = UdpSocket::bind(local_address(&context)).await?;
         let instance = context.writer.instance.clone();
-        let choice = ReceiverChoice::new(instance, context.settings.domain.clone());
-        Ok(PeerTalk {
+        let choice = TargetSelector::new(instance, context.settings.domain.clone());
+        Ok(PeerBroadcaster {
             context,
             frames: UdpFramed::new(socket, BytesCodec::new()),
             told_at: ClockTime::default(),
@@ -148,7 +148,9 @@
             .with_stages(stages.clone())
             .with_demands(&self.context.demands.lock().own(now))
             .with_refusing(refusing.clone());
-        let receivers = self.choice.everyone(now, &self.context.peers.lock());
+        let receivers = self
+            .choice
+            .broadcast_targets(now, &self.context.peers.lock());
         self.send(now, message, relay, &receivers).await;
         self.tell_rest(now, receivers).await;
         if speaks {
@@ -160,13 +162,15 @@
     fn speaks_for_domain(&self, now: ClockTime) -> bool {
         let peers = self.context.peers.lock();
         let (own, domain) = (&self.context.writer.instance, &self.context.settings.domain);
-        !peers.is_direct() && peers.is_speaker(now, own, domain)
+        !peers.is_full_mesh() && peers.is_representative(now, own, domain)
     }
 
     /// Tells other failure domains what this one has, where not every instance tells
     /// every other one. Queues are left out: they have changed before the word is there.
     async fn tell_far(&mut self, now: ClockTime, stages: Vec<StageMessage>, refusing: Vec<u64>) {
-        let receivers = self.choice.far(now, &self.context.peers.lock());
+        let receivers = self
+            .choice
+            .cross_domain_targets(now, &self.context.peers.lock());
         if receivers.is_empty() {
             return;
         }
@@ -179,8 +183,8 @@
 
     /// Tells what had no room in the last datagram. Were it left out, each instance of
     /// the failure domain would read all registrations from the store at once.
-    async fn tell_rest(&mut self, now: ClockTime, mut receivers: Vec<WordReceiver>) {
-        receivers.retain(|receiver| receiver.is_near);
+    async fn tell_rest(&mut self, now: ClockTime, mut receivers: Vec<BroadcastTarget>) {
+        receivers.retain(|receiver| receiver.is_same_domain);
         while self.context.peers.lock().has_due_changes(now)
             && let Some(relay) = relay::message(&self.context, now)
         {
@@ -193,7 +197,7 @@
     /// sent there would wait for a timeout. The silence of all instances there
     /// shows it before the first request has timed out.
     fn note_silent_domains(&mut self, now: ClockTime) {
-        let silent = self.context.peers.lock().silent_domains(now);
+        let silent = self.context.peers.lock().unreachable_domains(now);
         if silent == self.silent_domains {
             return;
         }
@@ -223,7 +227,9 @@
     async fn tell_near(&mut self) {
         let now = self.context.now();
         let relay = relay::message(&self.context, now);
-        let mut receivers = self.choice.near(now, &self.context.peers.lock());
+        let mut receivers = self
+            .choice
+            .same_domain_targets(now, &self.context.peers.lock());
         let is_reader = relay.is_some();
         receivers.retain(|receiver| is_reader || receiver.is_reader);
         let message = PeerMessage::without_loads();
@@ -236,7 +242,7 @@
         now: ClockTime,
         message: PeerMessage,
         relay: Option<RelayMessage>,
-        receivers: &[WordReceiver],
+        receivers: &[BroadcastTarget],
     ) {
         let writer = &self.context.writer;
         let domain = &self.context.settings.domain;
@@ -244,9 +250,9 @@
         let shared = message.encode_to_vec();
         let usage = self.usage_due(now);
         for receiver in receivers {
-            let part = ReceiverPart {
+            let part = PerTargetMessage {
                 echo: receiver.stamp,
-                relay: relay.clone().filter(|_| receiver.is_near),
+                relay: relay.clone().filter(|_| receiver.is_same_domain),
                 usage: usage.clone().filter(|_| receiver.is_reader),
             };
             let mut bytes = BytesMut::from(&shared[..]);
@@ -264,7 +270,7 @@
             return None;
         }
         self.told_usage_at = now;
-        steward::told_usage(&self.context)
+        leader::recent_usage(&self.context)
     }
 
     fn hear(&mut self, bytes: &BytesMut, from: SocketAddr) {
@@ -292,20 +298,20 @@
                 address: from,
                 start: message.start,
                 domain: domain.clone(),
-                heard_at: None,
+                last_seen: None,
                 stamp: 0,
             };
             peers.register(&peer, known);
-            peers.heard(now, &peer, message.stamp);
+            peers.note_message(now, &peer, message.stamp);
         }
-        relay::take(&self.context, &peer, &message);
+        relay::apply(&self.context, &peer, &message);
         if let Some(usage) = &message.usage {
-            steward::take_told_usage(&self.context, usage);
+            leader::note_peer_usage(&self.context, usage);
         }
         self.hear_demands(now, &peer, &domain, &message);
-        let (loads, parts) = (message.told_loads(), message.told_parts());
+        let (loads, parts) = (message.peer_loads(), message.peer_parts());
         let mut engines = self.context.engines.lock();
-        if message.says_loads {
+        if message.includes_loads {
             engines.note_peer(now, &peer, &loads, &parts);
         }
         for engine in &message.refusing {
--- a/crates/ingress/src/peers/messages.rs
+++ b/crates/ingress/src/peers/messages.rs
@@ -14,8 +14,8 @@
 use prost::Message;
 
 use crate::{
+    leader::UsageRecord,
     packing::{pack, unpack},
-    steward::UsageRecord,
 };
 
 /// The most bytes that the changes of one datagram may have when they are unpacked.
@@ -95,7 +95,7 @@
     pub usage: Option<UsageRecord>,
     /// Whether loads and parts are told: none means that there are none.
     #[prost(bool, tag = "11")]
-    pub says_loads: bool,
+    pub includes_loads: bool,
     /// Engines that refused the sender lately, by the hashes of their ids.
     #[prost(fixed64, repeated, tag = "12")]
     pub refusing: Vec<u64>,
@@ -157,7 +157,7 @@
 /// What differs between the receivers of a datagram; it is appended to the part
 /// that is the same for all, which makes it one message.
 #[derive(Clone, PartialEq, Message)]
-pub struct ReceiverPart {
+pub struct PerTargetMessage {
     /// As in [`PeerMessage`].
     #[prost(uint64, tag = "8")]
     pub echo: u64,
@@ -327,7 +327,7 @@
             running: told.load.running,
         });
         PeerMessage {
-            says_loads: true,
+            includes_loads: true,
             loads: loads.collect(),
             parts: by_engine,
             ..PeerMessage::default()
@@ -378,7 +378,7 @@
     }
 
     /// The loads as the slices know them.
-    pub fn told_loads(&self) -> Vec<ToldLoad> {
+    pub fn peer_loads(&self) -> Vec<ToldLoad> {
         let loads = self.loads.iter().map(|message| {
             let mut prefill_ms = [0.0; RANKS];
             for (rank, told) in prefill_ms.iter_mut().zip(&message.prefill_ms) {
@@ -396,7 +396,7 @@
     }
 
     /// The parts as the slices know them.
-    pub fn told_parts(&self) -> Vec<ToldPart> {
+    pub fn peer_parts(&self) -> Vec<ToldPart> {
         let parts = self.parts.iter().flat_map(|message| {
             let engine = message.engine;
             let parts = message.parts.iter();
--- a/crates/ingress/src/peers/mod.rs
+++ b/crates/ingress/src/peers/mod.rs
@@ -7,12 +7,12 @@
 //! and no connection can go silent. An entry that hears nobody serves from its
 //! own books alone.
 
+mod broadcast;
 mod messages;
-mod receivers;
 mod registry;
 mod relay;
 mod table;
-mod talk;
+mod targets;
 
 use std::{io, sync::Arc};
 
@@ -20,16 +20,16 @@
 
 pub use self::{
     messages::{ChangeMessage, RelayMessage, StageMessage, pack_changes},
-    receivers::{ReceiverChoice, WordReceiver},
-    table::{CHANGES_TOLD, KnownPeer, PeerTable},
+    table::{KnownPeer, MAX_CHANGES_PER_DATAGRAM, PeerTable},
+    targets::{BroadcastTarget, TargetSelector},
 };
 use crate::context::EntryContext;
 
 /// Starts registering, following and talking; all end with `stop`.
 pub async fn start(context: &Arc<EntryContext>, stop: &CancellationToken) -> io::Result<()> {
-    let talk = talk::PeerTalk::bind(Arc::clone(context)).await?;
+    let broadcast = broadcast::PeerBroadcaster::bind(Arc::clone(context)).await?;
     let token = stop.clone();
-    tokio::spawn(async move { token.run_until_cancelled(talk.run()).await });
+    tokio::spawn(async move { token.run_until_cancelled(broadcast.run()).await });
     let follow = registry::register_and_read(Arc::clone(context));
     let token = stop.clone();
     tokio::spawn(async move { token.run_until_cancelled(follow).await });
--- a/crates/ingress/src/peers/registry.rs
+++ b/crates/ingress/src/peers/registry.rs
@@ -14,9 +14,9 @@
 use prost::Message;
 
 use crate::{
-    believe::{READ_TIMEOUT, StorePath},
     context::EntryContext,
     peers::{messages::PeerRecord, table::KnownPeer},
+    sync::{READ_TIMEOUT, StoreBackoff},
 };
 
 const PART: TopicPart = TopicPart::first("keyed.peers");
@@ -24,22 +24,22 @@
 /// Registers this instance and reads who else has. Whoever starts later reads this
 /// registration and makes itself heard.
 pub async fn register_and_read(context: Arc<EntryContext>) {
-    let mut path = StorePath::new("peers");
+    let mut backoff = StoreBackoff::new("peers");
     while let Err(error) = register(&context).await {
-        path.failed(&context, &error).await;
+        backoff.wait_after_failure(&context, &error).await;
     }
-    path.answered(&context);
-    while let Err(error) = read_newest(&context, path.patience()).await {
-        path.failed(&context, &error).await;
+    backoff.note_answer(&context);
+    while let Err(error) = read_newest(&context, backoff.read_timeout()).await {
+        backoff.wait_after_failure(&context, &error).await;
     }
-    path.answered(&context);
+    backoff.note_answer(&context);
     let now = context.now();
     context.peers.lock().note_read(now);
 }
 
 async fn register(context: &EntryContext) -> Result<(), CallError> {
     let record = PeerRecord {
-        address: own_address(context).to_string(),
+        address: local_address(context).to_string(),
         start: context.writer.start,
         domain: context.settings.domain.to_string(),
     };
@@ -50,7 +50,7 @@
 }
 
 /// Where this instance listens for datagrams.
-pub fn own_address(context: &EntryContext) -> SocketAddr {
+pub fn local_address(context: &EntryContext) -> SocketAddr {
     let settings = &context.settings;
     SocketAddr::new(settings.callers_address.ip(), settings.peer_port)
 }
@@ -89,7 +89,7 @@
             address,
             start: record.start,
             domain,
-            heard_at: None,
+            last_seen: None,
             stamp: 0,
         };
         context.peers.lock().register(&instance, peer);
--- a/crates/ingress/src/peers/relay.rs
+++ b/crates/ingress/src/peers/relay.rs
@@ -8,12 +8,12 @@
 use bluebell_daemon::logs::LogLine;
 
 use crate::{
-    believe,
     context::EntryContext,
     peers::{
         messages::{ChangeMessage, CopyMessage, PeerMessage, RelayMessage, pack_changes},
         table::PeerTable,
     },
+    sync,
 };
 
 impl EntryContext {
@@ -93,14 +93,14 @@
 }
 
 /// Takes the word of the reader of this instance's failure domain.
-pub fn take(context: &EntryContext, peer: &InstanceId, message: &PeerMessage) {
+pub fn apply(context: &EntryContext, peer: &InstanceId, message: &PeerMessage) {
     let Some(relay) = &message.relay else { return };
     let now = context.now();
     let (own, domain) = (&context.writer.instance, &context.settings.domain);
-    if !context.peers.lock().has_reader(now, own, domain, peer) {
+    if !context.peers.lock().is_peer_reader(now, own, domain, peer) {
         return;
     }
-    let Some(echo) = PeerTable::echoed(message.echo) else {
+    let Some(echo) = PeerTable::echoed_stamp(message.echo) else {
         return;
     };
     let keys_known_at = echo.known_at(TimeSpan::from_millis(relay.keys_age_ms));
@@ -167,11 +167,11 @@
         }
     };
     match (&change.value, change.kept_for_ms) {
-        (Some(value), _) => believe::register(context, &id, value),
+        (Some(value), _) => sync::register(context, &id, value),
         (None, Some(kept_for_ms)) => {
             let kept_for = TimeSpan::from_millis(kept_for_ms);
-            believe::lapse(context, &id, kept_for, teller);
+            sync::lapse(context, &id, kept_for, teller);
         }
-        (None, None) => believe::unregister(context, &id),
+        (None, None) => sync::unregister(context, &id),
     }
 }
--- a/crates/ingress/src/peers/table.rs
+++ b/crates/ingress/src/peers/table.rs
@@ -49,7 +49,7 @@
 const CHANGE_REPEAT: TimeSpan = TimeSpan::from_millis(400);
 
 /// The most changes that are told in one datagram; the rest follows in further ones.
-pub const CHANGES_TOLD: usize = 48;
+pub const MAX_CHANGES_PER_DATAGRAM: usize = 48;
 
 /// Another instance.
 #[derive(Clone, Debug, Serialize)]
@@ -61,7 +61,8 @@
     /// Its failure domain.
     pub domain: FailureDomain,
     /// When it was last heard.
-    pub heard_at: Option<ClockTime>,
+    #[serde(rename = "heard_at")]
+    pub last_seen: Option<ClockTime>,
     /// Its own clock's time in its last word, to be sent back to it.
     pub stamp: u64,
 }
@@ -69,7 +70,7 @@
 impl KnownPeer {
     /// Whether it was heard lately.
     pub fn is_alive(&self, now: ClockTime) -> bool {
-        self.heard_at
+        self.last_seen
             .is_some_and(|heard| now.since(heard) <= ALIVE_FOR)
     }
 }
@@ -122,9 +123,9 @@
     }
 
     /// An instance was heard.
-    pub fn heard(&mut self, now: ClockTime, instance: &InstanceId, stamp: u64) {
+    pub fn note_message(&mut self, now: ClockTime, instance: &InstanceId, stamp: u64) {
         if let Some(peer) = self.peers.get_mut(instance) {
-            peer.heard_at = Some(now);
+            peer.last_seen = Some(now);
             peer.stamp = stamp;
         }
     }
@@ -160,7 +161,9 @@
     /// The changes for the next datagram, the newest first. They count as told.
     pub fn take_due_changes(&mut self, now: ClockTime) -> Vec<ChangeMessage> {
         let newest = self.changes.iter_mut().rev();
-        let due = newest.filter(|known| known.is_due(now)).take(CHANGES_TOLD);
+        let due = newest
+            .filter(|known| known.is_due(now))
+            .take(MAX_CHANGES_PER_DATAGRAM);
         due.map(|known| {
             known.told_at = Some(now);
             known.change.clone()
@@ -174,7 +177,7 @@
     }
 
     /// Whether all instances are known that there were at this one's start.
-    pub fn is_whole(&self, now: ClockTime) -> bool {
+    pub fn is_complete(&self, now: ClockTime) -> bool {
         self.read_at.is_some_and(|at| now.since(at) >= KNOWN_AFTER)
     }
 
@@ -194,34 +197,40 @@
     }
 
     /// Whether each instance tells every other one.
-    pub fn is_direct(&self) -> bool {
+    pub fn is_full_mesh(&self) -> bool {
         self.peers.len() < DIRECT_UP_TO
     }
 
     /// Whether `own` is one of those who speak for `domain` elsewhere: the first by
     /// name of those there that are alive.
-    pub fn is_speaker(&self, now: ClockTime, own: &InstanceId, domain: &FailureDomain) -> bool {
+    pub fn is_representative(
+        &self,
+        now: ClockTime,
+        own: &InstanceId,
+        domain: &FailureDomain,
+    ) -> bool {
         let alive = self.alive_in(now, domain);
         alive.filter(|(name, _)| *name < own).count() < SPEAKERS
     }
 
     /// Whether somebody in `domain` was heard lately.
-    pub fn hears_domain(&self, now: ClockTime, domain: &FailureDomain) -> bool {
+    pub fn has_alive_peer_in(&self, now: ClockTime, domain: &FailureDomain) -> bool {
         self.alive_in(now, domain).next().is_some()
     }
 
     /// Whether `instance` is heard through the speakers of its failure domain only, as
     /// seen from `domain`.
-    pub fn is_spoken_for(
+    pub fn is_represented(
         &self,
         now: ClockTime,
         domain: &FailureDomain,
         instance: &InstanceId,
     ) -> bool {
         let peer = self.peers.get(instance);
-        let is_far =
-            peer.is_some_and(|peer| peer.domain != *domain && self.hears_domain(now, &peer.domain));
-        is_far && !self.is_direct()
+        let is_far = peer.is_some_and(|peer| {
+            peer.domain != *domain && self.has_alive_peer_in(now, &peer.domain)
+        });
+        is_far && !self.is_full_mesh()
     }
 
     /// Those that were heard lately.
@@ -243,10 +252,10 @@
 
     /// The failure domains from which nobody is heard any more, though somebody was
     /// heard lately: they are cut off from here, and so are their endpoints.
-    pub fn silent_domains(&self, now: ClockTime) -> BTreeSet<FailureDomain> {
+    pub fn unreachable_domains(&self, now: ClockTime) -> BTreeSet<FailureDomain> {
         let mut heard: BTreeMap<&FailureDomain, ClockTime> = BTreeMap::new();
         for peer in self.peers.values() {
-            if let Some(at) = peer.heard_at {
+            if let Some(at) = peer.last_seen {
                 let newest = heard.entry(&peer.domain).or_insert(at);
                 *newest = at.max(*newest);
             }
@@ -273,7 +282,7 @@
     }
 
     /// Whether `instance` reads the store for `domain`, as seen by `own` there.
-    pub fn has_reader(
+    pub fn is_peer_reader(
         &self,
         now: ClockTime,
         own: &InstanceId,
@@ -287,7 +296,7 @@
 
     /// The stamp of ours that a peer names in its word; a peer that has not heard
     /// us yet names none.
-    pub fn echoed(echo: u64) -> Option<EchoedStamp> {
+    pub fn echoed_stamp(echo: u64) -> Option<EchoedStamp> {
         (echo > 0).then_some(EchoedStamp {
             sent: ClockTime::from_millis(echo),
         })
--- a/crates/ingress/src/peers/receivers.rs
+++ b/crates/ingress/src/peers/targets.rs
@@ -14,13 +14,13 @@
 
 /// Somebody who is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WordReceiver {
+pub struct BroadcastTarget {
     /// Where it listens for datagrams.
     pub address: SocketAddr,
     /// The last stamp that it sent.
     pub stamp: u64,
     /// Whether it is in the same failure domain.
-    pub is_near: bool,
+    pub is_same_domain: bool,
     /// Whether it reads the store for this instance.
     pub is_reader: bool,
 }
@@ -28,7 +28,7 @@
 /// Chooses who is told. Instances that know of each other and have not been heard yet
 /// are silent too, so a beat that is missed keeps them apart.
 #[derive(Debug)]
-pub struct ReceiverChoice {
+pub struct TargetSelector {
     instance: InstanceId,
     domain: FailureDomain,
     silent_beat: SilentBeat,
@@ -68,10 +68,10 @@
     }
 }
 
-impl ReceiverChoice {
+impl TargetSelector {
     /// The choice of `instance` in `domain`.
-    pub fn new(instance: InstanceId, domain: FailureDomain) -> ReceiverChoice {
-        ReceiverChoice {
+    pub fn new(instance: InstanceId, domain: FailureDomain) -> TargetSelector {
+        TargetSelector {
             instance,
             domain,
             silent_beat: SilentBeat::default(),
@@ -81,10 +81,10 @@
 
     /// Who is told everything: those that were heard lately, and at each beat the
     /// silent ones as well. With many instances only those of the own failure domain.
-    pub fn everyone(&mut self, now: ClockTime, peers: &PeerTable) -> Vec<WordReceiver> {
-        let is_direct = peers.is_direct();
+    pub fn broadcast_targets(&mut self, now: ClockTime, peers: &PeerTable) -> Vec<BroadcastTarget> {
+        let is_full_mesh = peers.is_full_mesh();
         let known = peers.iter();
-        let known = known.filter(|(_, peer)| is_direct || peer.domain == self.domain);
+        let known = known.filter(|(_, peer)| is_full_mesh || peer.domain == self.domain);
         let beat = &mut self.silent_beat;
         let told = beat.choose(now, known.collect(), |peer| peer.is_alive(now));
         self.receivers(now, peers, told)
@@ -93,8 +93,12 @@
     /// Who is told what the own failure domain has, where not every instance tells
     /// every other one: all of the other failure domains from which somebody is heard,
     /// and at each beat those of silent ones.
-    pub fn far(&mut self, now: ClockTime, peers: &PeerTable) -> Vec<WordReceiver> {
-        if peers.is_direct() {
+    pub fn cross_domain_targets(
+        &mut self,
+        now: ClockTime,
+        peers: &PeerTable,
+    ) -> Vec<BroadcastTarget> {
+        if peers.is_full_mesh() {
             return Vec::new();
         }
         let heard: BTreeSet<&FailureDomain> =
@@ -107,7 +111,7 @@
 
     /// Those of the own failure domain that were heard lately. Silent ones are left to
     /// the beat of [`Self::everyone`].
-    pub fn near(&self, now: ClockTime, peers: &PeerTable) -> Vec<WordReceiver> {
+    pub fn same_domain_targets(&self, now: ClockTime, peers: &PeerTable) -> Vec<BroadcastTarget> {
         let near = peers.alive_in(now, &self.domain);
         self.receivers(now, peers, near.collect())
     }
@@ -117,7 +121,7 @@
         now: ClockTime,
         peers: &PeerTable,
         told: Vec<(&InstanceId, &KnownPeer)>,
-    ) -> Vec<WordReceiver> {
+    ) -> Vec<BroadcastTarget> {
         let told = told.into_iter();
         told.map(|(instance, peer)| self.receiver(now, peers, instance, peer))
             .collect()
@@ -129,13 +133,14 @@
         peers: &PeerTable,
         instance: &InstanceId,
         peer: &KnownPeer,
-    ) -> WordReceiver {
-        let is_near = peer.domain == self.domain;
-        let is_reader = is_near && peers.has_reader(now, &self.instance, &self.domain, instance);
-        WordReceiver {
+    ) -> BroadcastTarget {
+        let is_same_domain = peer.domain == self.domain;
+        let is_reader =
+            is_same_domain && peers.is_peer_reader(now, &self.instance, &self.domain, instance);
+        BroadcastTarget {
             address: peer.address,
             stamp: peer.stamp,
-            is_near,
+            is_same_domain,
             is_reader,
         }
     }
--- a/crates/ingress/src/program.rs
+++ b/crates/ingress/src/program.rs
@@ -11,12 +11,12 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    believe,
     context::EntryContext,
     front::CallerFront,
+    leader,
     logs::{self, LogBuffer},
     metrics::EntryMetrics,
-    peers, ready, steward, time,
+    peers, ready, sync, time,
 };
 
 /// How long after SIGTERM callers are still accepted. The platform asks once a
@@ -92,11 +92,11 @@
         .context("the ready address can't be served")?;
     let metrics_server = ready::serve_metrics(&context).await;
     let background = CancellationToken::new();
-    believe::follow(&context, &background);
+    sync::start(&context, &background);
     peers::start(&context, &background)
         .await
         .context("the address for other instances can't be used")?;
-    steward::start(&context, &client, &background);
+    leader::start(&context, &client, &background);
     let front =
         CallerFront::bind(Arc::clone(&context)).context("the callers' address can't be served")?;
     loop {
--- a/crates/ingress/src/believe/configuration.rs
+++ b/crates/ingress/src/sync/configuration.rs
@@ -17,8 +17,8 @@
 use bytes::Bytes;
 
 use crate::{
-    believe::{StorePath, copies, wait_while_told},
     context::EntryContext,
+    sync::{StoreBackoff, copies, wait_for_relay},
 };
 
 const PART: TopicPart = TopicPart::first(TOPIC);
@@ -33,31 +33,31 @@
 
 /// Keeps the configuration in force up to date, for good.
 pub async fn follow(context: Arc<EntryContext>) {
-    let mut path = StorePath::new("configuration");
+    let mut backoff = StoreBackoff::new("configuration");
     let mut next = None;
     let mut is_told = false;
     loop {
         if next.is_some() && !context.must_read_keys() {
             is_told = true;
-            wait_while_told(&context).await;
+            wait_for_relay(&context).await;
             continue;
         }
-        if is_told && copies::take(&context).await {
+        if is_told && copies::fetch(&context).await {
             continue;
         }
         if mem::take(&mut is_told) {
             next = advertised_end(&context);
         }
         let step = match next {
-            None => read_newest(&context, path.patience()).await,
+            None => read_newest(&context, backoff.read_timeout()).await,
             Some(from) => read_on(&context, from).await,
         };
         match step {
             Ok(from) => {
-                path.answered(&context);
+                backoff.note_answer(&context);
                 next = from;
             }
-            Err(error) => path.failed(&context, &error).await,
+            Err(error) => backoff.wait_after_failure(&context, &error).await,
         }
     }
 }
@@ -70,7 +70,7 @@
     let sent = context.now();
     let page = context.store.newest(PART, None, patience).await?;
     for item in page.items.iter().filter(|item| item.key == KEY) {
-        take(context, &item.value);
+        apply(context, &item.value);
     }
     confirm(context, sent, page.end);
     Ok(Some(page.end))
@@ -96,7 +96,7 @@
             let next = records.last().map_or(from, |record| record.offset.next());
             for record in &records {
                 match record.keyed() {
-                    Some((key, Some(value))) if key == KEY.as_bytes() => take(context, value),
+                    Some((key, Some(value))) if key == KEY.as_bytes() => apply(context, value),
                     _ => {}
                 }
             }
@@ -139,7 +139,7 @@
 }
 
 /// Takes a configuration as it lies in the store.
-pub fn take(context: &Arc<EntryContext>, value: &[u8]) {
+pub fn apply(context: &Arc<EntryContext>, value: &[u8]) {
     let configuration = match configuration::decode(value) {
         Ok(configuration) => configuration,
         Err(error) => {
@@ -157,7 +157,7 @@
     let is_newer = previous.is_some_and(|previous| previous < version);
     let is_copied = is_newer && copies::is_due(context, size);
     if is_copied {
-        copies::announce(context, version);
+        copies::mark_pending(context, version);
     }
     let accepted = context.belief.lock().offer(configuration);
     match accepted {
--- a/crates/ingress/src/believe/copies.rs
+++ b/crates/ingress/src/sync/copies.rs
@@ -18,9 +18,9 @@
 use prost::Message;
 
 use crate::{
-    believe::{READ_TIMEOUT, configuration},
     context::EntryContext,
     packing::{pack, unpack},
+    sync::{READ_TIMEOUT, configuration},
 };
 
 const PART: TopicPart = TopicPart::first("configuration-copies");
@@ -88,7 +88,7 @@
 }
 
 /// Notes, before the version is advertised, that its copy is being made.
-pub fn announce(context: &EntryContext, version: u64) {
+pub fn mark_pending(context: &EntryContext, version: u64) {
     context
         .published_copy
         .lock()
@@ -144,7 +144,7 @@
 
 /// Fetches the copy of an advertised version that is missing here; returns whether the
 /// version is in force now.
-pub async fn take(context: &Arc<EntryContext>) -> bool {
+pub async fn fetch(context: &Arc<EntryContext>) -> bool {
     let advertised = context.relayed.lock().configuration;
     if context.belief.lock().version() >= Some(advertised.version()) {
         return false;
@@ -154,7 +154,7 @@
     };
     match read(context, advertised.version(), place).await {
         Ok(value) => {
-            configuration::take(context, &value);
+            configuration::apply(context, &value);
             configuration::confirm_advertised(context);
             context.belief.lock().version() >= Some(advertised.version())
         }
--- a/crates/ingress/src/believe/endpoints.rs
+++ b/crates/ingress/src/sync/endpoints.rs
@@ -15,9 +15,9 @@
 use bluebell_daemon::logs::LogLine;
 
 use crate::{
-    believe::{READ_TIMEOUT, StorePath, wait_while_told},
     context::EntryContext,
     peers::ChangeMessage,
+    sync::{READ_TIMEOUT, StoreBackoff, wait_for_relay},
 };
 
 const PART: TopicPart = TopicPart::first(TOPIC);
@@ -29,7 +29,7 @@
 
 /// Keeps the directory up to date, for good.
 pub async fn follow(context: Arc<EntryContext>) {
-    let mut path = StorePath::new("endpoints");
+    let mut backoff = StoreBackoff::new("endpoints");
     let mut next = None;
     let mut is_told = false;
     loop {
@@ -39,7 +39,7 @@
             }
             is_told = true;
             drop_lapsed(&context);
-            wait_while_told(&context).await;
+            wait_for_relay(&context).await;
             continue;
         }
         if mem::take(&mut is_told) {
@@ -49,12 +49,12 @@
         }
         let sent = context.now();
         let step = match next {
-            None => read_all(&context, path.patience()).await,
+            None => read_all(&context, backoff.read_timeout()).await,
             Some(from) => read_on(&context, from).await,
         };
         match step {
             Ok(from) => {
-                path.answered(&context);
+                backoff.note_answer(&context);
                 next = from;
                 if next.is_some() {
                     note_whole(&context, sent);
@@ -67,7 +67,7 @@
             Err(error) => {
                 let now = context.now();
                 context.directory.lock().note_outage(now);
-                path.failed(&context, &error).await;
+                backoff.wait_after_failure(&context, &error).await;
             }
         }
     }
--- a/crates/ingress/src/believe/mod.rs
+++ b/crates/ingress/src/sync/mod.rs
@@ -31,7 +31,7 @@
 /// `failures` in a row. When many instances start at once, the store takes seconds to
 /// send everything to all of them; reads that give up before and begin anew keep it
 /// busy with what nobody waits for, and no instance gets ready.
-pub fn whole_read_patience(failures: u32) -> TimeSpan {
+pub fn full_read_timeout(failures: u32) -> TimeSpan {
     let doublings = failures.min(PATIENCE_DOUBLINGS);
     TimeSpan::from_millis(READ_TIMEOUT.as_millis() << doublings)
 }
@@ -40,13 +40,13 @@
 const TOLD_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Waits until there may be something to read.
-async fn wait_while_told(context: &EntryContext) {
+async fn wait_for_relay(context: &EntryContext) {
     let woken = context.wake.notified();
     let _ = tokio::time::timeout(TOLD_INTERVAL, woken).await;
 }
 
 /// Starts all followers; they end with `stop`.
-pub fn follow(context: &Arc<EntryContext>, stop: &CancellationToken) {
+pub fn start(context: &Arc<EntryContext>, stop: &CancellationToken) {
     let configuration = configuration::follow(Arc::clone(context));
     let endpoints = endpoints::follow(Arc::clone(context));
     for follower in [
@@ -63,24 +63,24 @@
 /// One call's way to the store: tells of losing and regaining it, and how long to
 /// wait before the next try.
 #[derive(Debug)]
-pub struct StorePath {
+pub struct StoreBackoff {
     call: &'static str,
     failures: u32,
 }
 
-impl StorePath {
+impl StoreBackoff {
     /// A way that works, as far as known.
-    pub fn new(call: &'static str) -> StorePath {
-        StorePath { call, failures: 0 }
+    pub fn new(call: &'static str) -> StoreBackoff {
+        StoreBackoff { call, failures: 0 }
     }
 
     /// How long the next read of everything may take to begin.
-    pub fn patience(&self) -> TimeSpan {
-        whole_read_patience(self.failures)
+    pub fn read_timeout(&self) -> TimeSpan {
+        full_read_timeout(self.failures)
     }
 
     /// Notes an answer.
-    pub fn answered(&mut self, context: &EntryContext) {
+    pub fn note_answer(&mut self, context: &EntryContext) {
         let counters = &context.metrics.store_calls;
         counters.with_label_values(&[self.call, "answered"]).inc();
         if self.failures > 0 {
@@ -93,7 +93,7 @@
     }
 
     /// Notes a failure and waits before the next try.
-    pub async fn failed(&mut self, context: &EntryContext, error: &CallError) {
+    pub async fn wait_after_failure(&mut self, context: &EntryContext, error: &CallError) {
         let counters = &context.metrics.store_calls;
         counters.with_label_values(&[self.call, "failed"]).inc();
         let wait = FIRST_BACKOFF * 2_u32.pow(self.failures.min(8));
--- a/crates/ingress/tests/peer_receivers.rs
+++ b/crates/ingress/tests/peer_receivers.rs
@@ -4,7 +4,7 @@
     clock::ClockTime,
     ids::{FailureDomain, InstanceId},
 };
-use bluebell_ingress::peers::{KnownPeer, PeerTable, ReceiverChoice};
+use bluebell_ingress::peers::{KnownPeer, PeerTable, TargetSelector};
 
 fn at(millis: u64) -> ClockTime {
     ClockTime::from_millis(millis)
@@ -24,14 +24,14 @@
         address: ([127, 0, 0, 1], port).into(),
         start: 1,
         domain: domain(in_domain),
-        heard_at: None,
+        last_seen: None,
         stamp: 0,
     };
     table.register(&instance(name), peer);
 }
 
-fn choice() -> ReceiverChoice {
-    ReceiverChoice::new(instance("a-1"), domain("a"))
+fn choice() -> TargetSelector {
+    TargetSelector::new(instance("a-1"), domain("a"))
 }
 
 /// Guards against failure domains that never hear each other because words for the
@@ -46,11 +46,11 @@
         let mut told_far = 0;
         for now in 10_000..20_000 {
             if now % near_ms == 0 {
-                choice.near(at(now), &table);
+                choice.same_domain_targets(at(now), &table);
             }
             if now % all_ms == 0 {
-                let receivers = choice.everyone(at(now), &table);
-                told_far += receivers.iter().filter(|told| !told.is_near).count();
+                let receivers = choice.broadcast_targets(at(now), &table);
+                told_far += receivers.iter().filter(|told| !told.is_same_domain).count();
             }
         }
         assert!(told_far >= 3, "{told_far} with {near_ms} and {all_ms} ms");
@@ -66,8 +66,8 @@
     let mut choice = choice();
     let mut told = [0, 0];
     for now in (10_000..20_000).step_by(100) {
-        table.heard(at(now), &instance("b-1"), now);
-        for receiver in choice.everyone(at(now), &table) {
+        table.note_message(at(now), &instance("b-1"), now);
+        for receiver in choice.broadcast_targets(at(now), &table) {
             told[usize::from(receiver.address.port() == 2)] += 1;
         }
     }
@@ -80,9 +80,9 @@
     let mut table = PeerTable::new();
     register(&mut table, "a-2", "a", 1);
     register(&mut table, "b-1", "b", 2);
-    table.heard(at(1_000), &instance("a-2"), 1);
-    table.heard(at(1_000), &instance("b-1"), 1);
-    let near = choice().near(at(1_100), &table);
+    table.note_message(at(1_000), &instance("a-2"), 1);
+    table.note_message(at(1_000), &instance("b-1"), 1);
+    let near = choice().same_domain_targets(at(1_100), &table);
     let ports: Vec<u16> = near.iter().map(|told| told.address.port()).collect();
     assert_eq!(ports, [1]);
 }
@@ -93,8 +93,8 @@
 fn instances_that_become_known_after_the_first_word_are_told_by_the_next() {
     let mut table = PeerTable::new();
     let mut choice = choice();
-    assert!(choice.everyone(at(10_000), &table).is_empty());
+    assert!(choice.broadcast_targets(at(10_000), &table).is_empty());
     register(&mut table, "b-1", "b", 1);
-    assert_eq!(choice.everyone(at(10_060), &table).len(), 1);
-    assert!(choice.everyone(at(10_120), &table).is_empty());
+    assert_eq!(choice.broadcast_targets(at(10_060), &table).len(), 1);
+    assert!(choice.broadcast_targets(at(10_120), &table).is_empty());
 }
--- a/crates/ingress/tests/peer_scale.rs
+++ b/crates/ingress/tests/peer_scale.rs
@@ -8,7 +8,7 @@
     ids::{FailureDomain, InstanceId, ServiceName},
     provision::DemandBoard,
 };
-use bluebell_ingress::peers::{KnownPeer, PeerTable, ReceiverChoice};
+use bluebell_ingress::peers::{KnownPeer, PeerTable, TargetSelector};
 
 const DOMAINS: usize = 5;
 const IN_EACH: usize = 59;
@@ -18,7 +18,7 @@
 /// One entry instance of the fleet.
 struct FleetEntry {
     domain: FailureDomain,
-    choice: ReceiverChoice,
+    choice: TargetSelector,
     table: PeerTable,
     demands: DemandBoard,
     is_alive: bool,
@@ -52,7 +52,7 @@
         address: ([127, 0, 0, 1], port).into(),
         start: 1,
         domain: domain(port),
-        heard_at: None,
+        last_seen: None,
         stamp: 0,
     }
 }
@@ -67,7 +67,7 @@
             }
             let entry = FleetEntry {
                 domain: domain(port),
-                choice: ReceiverChoice::new(instance(port), domain(port)),
+                choice: TargetSelector::new(instance(port), domain(port)),
                 table,
                 demands: DemandBoard::new(),
                 is_alive: true,
@@ -91,18 +91,18 @@
             sender.demands.prefill_sent(at(now), &service(), 80.0);
             let own = sender.demands.own(at(now));
             let sum = sender.demands.heard(at(now));
-            let near = sender.choice.everyone(at(now), &sender.table);
+            let near = sender.choice.broadcast_targets(at(now), &sender.table);
             let speaks = sender
                 .table
-                .is_speaker(at(now), &instance(port), &sender.domain);
+                .is_representative(at(now), &instance(port), &sender.domain);
             let far = match speaks {
-                true => sender.choice.far(at(now), &sender.table),
+                true => sender.choice.cross_domain_targets(at(now), &sender.table),
                 false => Vec::new(),
             };
             self.sent += near.len() + far.len();
             for told in near {
                 let receiver = self.entries.get_mut(&told.address.port()).unwrap();
-                receiver.table.heard(at(now), &instance(port), now);
+                receiver.table.note_message(at(now), &instance(port), now);
                 for (service, demand) in &own {
                     let demands = &mut receiver.demands;
                     demands.note_peer(at(now), &instance(port), service.clone(), *demand);
@@ -110,7 +110,7 @@
             }
             for told in far {
                 let receiver = self.entries.get_mut(&told.address.port()).unwrap();
-                receiver.table.heard(at(now), &instance(port), now);
+                receiver.table.note_message(at(now), &instance(port), now);
                 for (service, demand) in &sum {
                     let demands = &mut receiver.demands;
                     demands.note_domain(at(now), &domain(port), service.clone(), *demand);
@@ -179,7 +179,7 @@
         if step > 4 {
             let table = &fleet.entries[&2].table;
             assert!(
-                table.silent_domains(at(now)).is_empty(),
+                table.unreachable_domains(at(now)).is_empty(),
                 "after step {step}"
             );
         }
--- a/crates/ingress/tests/peer_table.rs
+++ b/crates/ingress/tests/peer_table.rs
@@ -1,7 +1,9 @@
 //! Which other instances an entry knows.
 
 use bluebell_core::clock::ClockTime;
-use bluebell_ingress::peers::{CHANGES_TOLD, ChangeMessage, PeerTable, RelayMessage, pack_changes};
+use bluebell_ingress::peers::{
+    ChangeMessage, MAX_CHANGES_PER_DATAGRAM, PeerTable, RelayMessage, pack_changes,
+};
 
 fn at(millis: u64) -> ClockTime {
     ClockTime::from_millis(millis)
@@ -13,10 +15,10 @@
     // the whole extra of the budget of repeats, a crash of engines in the first
     // seconds would bring the service that many times what the operators allow.
     let mut table = PeerTable::new();
-    assert!(!table.is_whole(at(60_000)));
+    assert!(!table.is_complete(at(60_000)));
     table.note_read(at(60_000));
-    assert!(!table.is_whole(at(60_100)));
-    assert!(table.is_whole(at(62_000)));
+    assert!(!table.is_complete(at(60_100)));
+    assert!(table.is_complete(at(62_000)));
 }
 
 fn change(number: usize) -> ChangeMessage {
@@ -35,14 +37,14 @@
 #[test]
 fn all_of_many_changes_are_told_at_once() {
     let mut table = PeerTable::new();
-    let changed = 6 * CHANGES_TOLD + 1;
+    let changed = 6 * MAX_CHANGES_PER_DATAGRAM + 1;
     for number in 0..changed {
         table.note_change(at(1_000), change(number));
     }
     let mut told = Vec::new();
     while table.has_due_changes(at(1_010)) {
         let changes = table.take_due_changes(at(1_010));
-        assert!(changes.len() <= CHANGES_TOLD);
+        assert!(changes.len() <= MAX_CHANGES_PER_DATAGRAM);
         told.extend(changes);
     }
     told.sort_by(|one, two| one.endpoint.cmp(&two.endpoint));
@@ -65,7 +67,7 @@
 /// Guards against datagrams of changes that fill the narrow links of an instance.
 #[test]
 fn packed_changes_are_small_and_come_back_whole() {
-    let changes: Vec<ChangeMessage> = (0..CHANGES_TOLD).map(change).collect();
+    let changes: Vec<ChangeMessage> = (0..MAX_CHANGES_PER_DATAGRAM).map(change).collect();
     let plain: usize = changes
         .iter()
         .map(|told| told.value.iter().flatten().count())
--- a/crates/ingress/tests/start_reads.rs
+++ b/crates/ingress/tests/start_reads.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use bluebell_ingress::believe::whole_read_patience;
+use bluebell_ingress::sync::full_read_timeout;
 
 const INSTANCES: usize = 295;
 /// Configuration and registrations as the store sends them.
@@ -66,7 +66,7 @@
 /// store can't send everything to all of them within the time that one read is given.
 #[test]
 fn hundreds_of_instances_that_start_at_once_read_a_large_configuration() {
-    let ready = ready_after(|failures| whole_read_patience(failures).as_millis());
+    let ready = ready_after(|failures| full_read_timeout(failures).as_millis());
     assert!(ready.is_some_and(|after| after < 10_000), "{ready:?}");
 }
 
@@ -74,7 +74,7 @@
 /// can be reached again.
 #[test]
 fn the_patience_of_whole_reads_is_bounded() {
-    let longest = whole_read_patience(1_000).as_millis();
+    let longest = full_read_timeout(1_000).as_millis();
     assert!(longest <= 4_000, "{longest}");
-    assert!(whole_read_patience(0) < whole_read_patience(1));
+    assert!(full_read_timeout(0) < full_read_timeout(1));
 }
