--- a/crates/ingress/src/sync/configuration.rs
+++ b/crates/ingress/src/sync/configuration.rs
@@ -18,39 +18,39 @@
 
 use crate::{
     context::EntryContext,
-    sync::{StoreBackoff, copies, wait_for_relay},
+    sync::{StoreBackoff, copies, wait_for_wake},
 };
 
 const PART: TopicPart = TopicPart::first(TOPIC);
 
-/// How long the store may hold a read back until there is a record. Knowledge
-/// counts from when a read was sent, and those who are told read for themselves
-/// when it is about 1.3 s old, so it has to be renewed well within that.
+/// How long the store may hold a read until there is a record. The age of the state
+/// counts from when a read was sent, and instances that follow a relay read the store
+/// themselves once it is about 1.3 s old, so it has to be renewed well within that time.
 const READ_WAIT: TimeSpan = TimeSpan::from_millis(600);
 
-/// How much longer than the wait the answer may take to begin.
+/// How much longer than [`READ_WAIT`] the answer may take to begin.
 const READ_SLACK: TimeSpan = TimeSpan::from_millis(700);
 
-/// Keeps the configuration in force up to date, for good.
+/// Keeps the configuration in force up to date; never returns.
 pub async fn follow(context: Arc<EntryContext>) {
     let mut backoff = StoreBackoff::new("configuration");
     let mut next = None;
-    let mut is_told = false;
+    let mut is_relayed = false;
     loop {
         if next.is_some() && !context.must_read_keys() {
-            is_told = true;
-            wait_for_relay(&context).await;
+            is_relayed = true;
+            wait_for_wake(&context).await;
             continue;
         }
-        if is_told && copies::fetch(&context).await {
+        if is_relayed && copies::fetch(&context).await {
             continue;
         }
-        if mem::take(&mut is_told) {
+        if mem::take(&mut is_relayed) {
             next = advertised_end(&context);
         }
         let step = match next {
             None => read_newest(&context, backoff.read_timeout()).await,
-            Some(from) => read_on(&context, from).await,
+            Some(from) => read_from(&context, from).await,
         };
         match step {
             Ok(from) => {
@@ -62,13 +62,13 @@
     }
 }
 
-/// Reads the newest configuration; answers where to read on.
+/// Reads the newest configuration; returns the offset to read next.
 async fn read_newest(
     context: &Arc<EntryContext>,
-    patience: TimeSpan,
+    timeout: TimeSpan,
 ) -> Result<Option<LogOffset>, CallError> {
     let sent = context.now();
-    let page = context.store.newest(PART, None, patience).await?;
+    let page = context.store.newest(PART, None, timeout).await?;
     for item in page.items.iter().filter(|item| item.key == KEY) {
         apply(context, &item.value);
     }
@@ -76,9 +76,9 @@
     Ok(Some(page.end))
 }
 
-/// Reads records from `from` on; answers where to go on, or nothing if they are
-/// gone and the newest has to be read instead.
-async fn read_on(
+/// Reads the records from `from` on. Returns the offset to read next, or `None` if the
+/// store no longer has these records and the newest configuration must be read instead.
+async fn read_from(
     context: &Arc<EntryContext>,
     from: LogOffset,
 ) -> Result<Option<LogOffset>, CallError> {
@@ -101,7 +101,7 @@
                 }
             }
             if next < end {
-                // The answer was full; what follows is not known yet.
+                // The answer reached its size limit, and there are further records.
                 return Ok(Some(next));
             }
             let next = next.max(end);
@@ -111,34 +111,35 @@
     }
 }
 
-/// Everything before `end` was known as the read came back that was sent at `sent`.
+/// Records that a read sent at `sent` covered everything before `end`.
 fn confirm(context: &EntryContext, sent: ClockTime, end: LogOffset) {
     context.relayed.lock().configuration_next = end;
-    let mut belief = context.belief.lock();
-    if belief.table().is_some() {
-        belief.confirm(sent);
+    let mut tracker = context.belief.lock();
+    if tracker.table().is_some() {
+        tracker.confirm(sent);
     }
 }
 
-/// The offset to follow from when the reader's adverts end. A large configuration that
-/// is in force here need not be fetched again.
+/// The offset to read from once the reader's adverts have ended. A large configuration
+/// that is in force here need not be fetched again.
 fn advertised_end(context: &EntryContext) -> Option<LogOffset> {
     let version = context.belief.lock().version();
     let advertised = context.relayed.lock().configuration;
     advertised.resume_offset(version)
 }
 
-/// Takes the freshness of the advertised version for the one in force, if they are the
-/// same.
+/// Confirms the version in force as of when the advertised one was known, if the two are
+/// the same.
 pub fn confirm_advertised(context: &EntryContext) {
     let advertised = context.relayed.lock().configuration;
-    let mut belief = context.belief.lock();
-    if belief.version() == Some(advertised.version()) {
-        belief.confirm(advertised.known_at());
+    let mut tracker = context.belief.lock();
+    if tracker.version() == Some(advertised.version()) {
+        tracker.confirm(advertised.known_at());
     }
 }
 
-/// Takes a configuration as it lies in the store.
+/// Decodes a configuration as stored and puts it in force unless it is older than the
+/// one in force.
 pub fn apply(context: &Arc<EntryContext>, value: &[u8]) {
     let configuration = match configuration::decode(value) {
         Ok(configuration) => configuration,
@@ -152,7 +153,8 @@
     let version = configuration.version;
     let (routes, services) = (configuration.routes.len(), configuration.services.len());
     let size = ByteSize::new(value.len() as u64);
-    // The first version after a start is one that the others have already.
+    // No copy is made of the first version after a start: the other instances already
+    // have it.
     let previous = context.belief.lock().version();
     let is_newer = previous.is_some_and(|previous| previous < version);
     let is_copied = is_newer && copies::is_due(context, size);
--- a/crates/ingress/src/sync/copies.rs
+++ b/crates/ingress/src/sync/copies.rs
@@ -1,5 +1,5 @@
-//! Copies of a large configuration: publishing them as the reader of a failure domain,
-//! and fetching them as any other instance.
+//! Compressed copies of a large configuration: published by the reader of a failure
+//! domain, and fetched by the other instances there.
 
 use std::{io, sync::Arc};
 
@@ -25,16 +25,16 @@
 
 const PART: TopicPart = TopicPart::first("configuration-copies");
 
-/// The most bytes of one record; the store takes somewhat more.
-const RECORD_BYTES: usize = 200_000;
+/// The size limit of one record in bytes; the limit of the store is somewhat higher.
+const MAX_RECORD_BYTES: usize = 200_000;
 
-/// The most bytes that a configuration may have when it is unpacked.
-const UNPACKED_LIMIT: ByteSize = ByteSize::new(32_000_000);
+/// The size limit of a decompressed configuration.
+const MAX_UNPACKED_SIZE: ByteSize = ByteSize::new(32_000_000);
 
-/// A copy as it lies in the store.
+/// A copy as it is stored.
 #[derive(Clone, PartialEq, Message)]
 struct CopyRecord {
-    /// The version.
+    /// The version of the configuration.
     #[prost(uint64, tag = "1")]
     version: u64,
     /// The operator's configuration, compressed.
@@ -65,20 +65,20 @@
     }
 }
 
-/// Why a copy could not be made or read.
+/// Why a copy could not be published or read.
 #[derive(Debug, thiserror::Error)]
 enum CopyError {
-    #[error("the store: {0}")]
+    #[error("the call to the store failed: {0}")]
     Store(#[from] CallError),
-    #[error("the copy is gone; the first record left is at {0}")]
-    Gone(LogOffset),
+    #[error("the copy is no longer in the store; the first record left is at offset {0}")]
+    Removed(LogOffset),
     #[error("the copy can't be decoded: {0}")]
-    Undecodable(#[from] prost::DecodeError),
-    #[error("the copy can't be unpacked: {0}")]
-    Unpackable(#[from] io::Error),
-    #[error("a conditional append was answered to a plain one")]
-    Unexpected,
-    #[error("version {0} stands there")]
+    Decode(#[from] prost::DecodeError),
+    #[error("the configuration can't be compressed or decompressed: {0}")]
+    Compression(#[from] io::Error),
+    #[error("the store answered an unconditional append as a conditional one")]
+    UnexpectedAnswer,
+    #[error("the copy is of another version: {0}")]
     OtherVersion(u64),
 }
 
@@ -87,7 +87,8 @@
     size >= COPY_THRESHOLD && context.is_reader()
 }
 
-/// Notes, before the version is advertised, that its copy is being made.
+/// Records that a copy of `version` is being made; called before the version is
+/// advertised.
 pub fn mark_pending(context: &EntryContext, version: u64) {
     context
         .published_copy
@@ -127,9 +128,9 @@
 ) -> Result<CopyPlace, CopyError> {
     let packed = Bytes::from(pack(value)?);
     let copy = Bytes::from(CopyRecord { version, packed }.encode_to_vec());
-    let starts = (0..copy.len()).step_by(RECORD_BYTES);
+    let starts = (0..copy.len()).step_by(MAX_RECORD_BYTES);
     let records: Vec<Bytes> = starts
-        .map(|start| copy.slice(start..copy.len().min(start + RECORD_BYTES)))
+        .map(|start| copy.slice(start..copy.len().min(start + MAX_RECORD_BYTES)))
         .collect();
     let appended = context.store.append(PART, None, &records, READ_TIMEOUT);
     match appended.await? {
@@ -138,12 +139,12 @@
             records: records.len() as u32,
             size: ByteSize::new(copy.len() as u64),
         }),
-        AppendAnswer::EndMoved { .. } => Err(CopyError::Unexpected),
+        AppendAnswer::EndMoved { .. } => Err(CopyError::UnexpectedAnswer),
     }
 }
 
-/// Fetches the copy of an advertised version that is missing here; returns whether the
-/// version is in force now.
+/// Fetches the copy of the advertised version if that version is newer than the one in
+/// force here; returns whether the advertised version is in force afterwards.
 pub async fn fetch(context: &Arc<EntryContext>) -> bool {
     let advertised = context.relayed.lock().configuration;
     if context.belief.lock().version() >= Some(advertised.version()) {
@@ -182,7 +183,7 @@
         .await?;
     let records = match answer {
         ReadAnswer::Records { records, .. } => records,
-        ReadAnswer::Forgotten { first } => return Err(CopyError::Gone(first)),
+        ReadAnswer::Forgotten { first } => return Err(CopyError::Removed(first)),
     };
     let records = records.iter().take(place.records as usize);
     let copy: Vec<u8> = records.flat_map(|record| record.bytes.to_vec()).collect();
@@ -190,5 +191,5 @@
     if copy.version != version {
         return Err(CopyError::OtherVersion(copy.version));
     }
-    Ok(unpack(&copy.packed, UNPACKED_LIMIT)?)
+    Ok(unpack(&copy.packed, MAX_UNPACKED_SIZE)?)
 }
--- a/crates/ingress/src/sync/endpoints.rs
+++ b/crates/ingress/src/sync/endpoints.rs
@@ -17,47 +17,48 @@
 use crate::{
     context::EntryContext,
     peers::ChangeMessage,
-    sync::{READ_TIMEOUT, StoreBackoff, wait_for_relay},
+    sync::{READ_TIMEOUT, StoreBackoff, wait_for_wake},
 };
 
 const PART: TopicPart = TopicPart::first(TOPIC);
 
-/// How often the registrations are read. Endpoints write heartbeats all the time,
-/// so a read that waits for a record would come back at once; an endpoint that
-/// leaves must get nothing new within 2 s, and one withdrawn is gone after 2 s.
+/// How often the registrations are read. Endpoints write heartbeats all the time, so a read
+/// that waits for a record would return at once. No new request may be sent to a leaving
+/// endpoint 2 s after it announced that it leaves, and a withdrawn one is removed after 2 s.
 const READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Keeps the directory up to date, for good.
+/// Keeps the endpoint directory up to date; never returns.
 pub async fn follow(context: Arc<EntryContext>) {
     let mut backoff = StoreBackoff::new("endpoints");
     let mut next = None;
-    let mut is_told = false;
+    let mut is_relayed = false;
     loop {
         if next.is_some() && !context.must_read_endpoints() {
-            if !is_told {
-                note_source(&context, "reader");
+            if !is_relayed {
+                log_source(&context, "reader");
             }
-            is_told = true;
+            is_relayed = true;
             drop_lapsed(&context);
-            wait_for_relay(&context).await;
+            wait_for_wake(&context).await;
             continue;
         }
-        if mem::take(&mut is_told) {
-            note_source(&context, "store");
-            // What came while the reader told is not worth reading record by record.
+        if mem::take(&mut is_relayed) {
+            log_source(&context, "store");
+            // Reading the newest state in full takes less time than reading one by one
+            // all records that were written while the reader relayed.
             next = None;
         }
         let sent = context.now();
         let step = match next {
             None => read_all(&context, backoff.read_timeout()).await,
-            Some(from) => read_on(&context, from).await,
+            Some(from) => read_from(&context, from).await,
         };
         match step {
             Ok(from) => {
                 backoff.note_answer(&context);
                 next = from;
                 if next.is_some() {
-                    note_whole(&context, sent);
+                    mark_synced(&context, sent);
                 }
                 drop_lapsed(&context);
                 if next.is_some() {
@@ -73,8 +74,8 @@
     }
 }
 
-/// Tells where the registrations are learned from, from now on.
-fn note_source(context: &EntryContext, source: &str) {
+/// Logs whether registrations are now taken from the store or from the reader.
+fn log_source(context: &EntryContext, source: &str) {
     let reader = context.reader();
     LogLine::new("endpoints_followed")
         .with("source", source)
@@ -82,8 +83,8 @@
         .info();
 }
 
-/// Everything that stood in the store at `sent` is known.
-fn note_whole(context: &EntryContext, sent: ClockTime) {
+/// Records that the directory covers everything that was in the store at `sent`.
+fn mark_synced(context: &EntryContext, sent: ClockTime) {
     let mut relayed = context.relayed.lock();
     relayed.endpoints_known_at = relayed.endpoints_known_at.max(Some(sent));
     relayed.must_resync = false;
@@ -92,7 +93,7 @@
 
 async fn read_all(
     context: &EntryContext,
-    patience: TimeSpan,
+    timeout: TimeSpan,
 ) -> Result<Option<LogOffset>, CallError> {
     let mut listed: Vec<EndpointId> = Vec::new();
     let mut after: Option<String> = None;
@@ -100,13 +101,14 @@
     loop {
         let page = context
             .store
-            .newest(PART, after.as_deref(), patience)
+            .newest(PART, after.as_deref(), timeout)
             .await?;
-        note_return(context);
-        // What changes while the pages are read stands after the first page's end.
+        note_store_answer(context);
+        // Changes that are written while the pages are read follow the end of the first
+        // page.
         from.get_or_insert(page.end);
         for item in &page.items {
-            if let Some(id) = endpoint_id(item.key.as_bytes()) {
+            if let Some(id) = parse_endpoint_id(item.key.as_bytes()) {
                 register(context, &id, &item.value);
                 listed.push(id);
             }
@@ -117,20 +119,23 @@
         }
     }
     let now = context.now();
-    let known = |id: &EndpointId| listed.contains(id);
-    let missing = context.directory.lock().keep_only(now, known);
+    let is_listed = |id: &EndpointId| listed.contains(id);
+    let missing = context.directory.lock().keep_only(now, is_listed);
     for id in missing {
-        forget_if_gone(context, &id);
+        forget_if_removed(context, &id);
     }
     Ok(from)
 }
 
-async fn read_on(context: &EntryContext, from: LogOffset) -> Result<Option<LogOffset>, CallError> {
+async fn read_from(
+    context: &EntryContext,
+    from: LogOffset,
+) -> Result<Option<LogOffset>, CallError> {
     let answer = context
         .store
         .read(PART, from, TimeSpan::ZERO, READ_TIMEOUT)
         .await?;
-    note_return(context);
+    note_store_answer(context);
     match answer {
         ReadAnswer::Forgotten { .. } => Ok(None),
         ReadAnswer::Records { records, end } => {
@@ -139,24 +144,26 @@
                 let Some((key, value)) = record.keyed() else {
                     continue;
                 };
-                let Some(id) = endpoint_id(key) else { continue };
+                let Some(id) = parse_endpoint_id(key) else {
+                    continue;
+                };
                 match value {
                     Some(value) => register(context, &id, value),
                     None => unregister(context, &id),
                 }
             }
-            // An answer that was full leaves the rest for the next read.
+            // An answer that reached its size limit leaves the rest for the next read.
             Ok(Some(if records.is_empty() { end } else { next }))
         }
     }
 }
 
-fn note_return(context: &EntryContext) {
+fn note_store_answer(context: &EntryContext) {
     let now = context.now();
     context.directory.lock().note_return(now);
 }
 
-fn endpoint_id(key: &[u8]) -> Option<EndpointId> {
+fn parse_endpoint_id(key: &[u8]) -> Option<EndpointId> {
     let text = std::str::from_utf8(key).ok()?;
     match EndpointId::new(text) {
         Ok(id) => Some(id),
@@ -169,7 +176,7 @@
     }
 }
 
-/// Takes a registration as it lies in the store.
+/// Decodes a registration as stored and enters it into the directory.
 pub fn register(context: &EntryContext, id: &EndpointId, value: &[u8]) {
     let registration = match registrations::decode(id.clone(), value) {
         Ok(registration) => registration,
@@ -187,7 +194,7 @@
         DirectoryChange::Started => context.pools.forget(id),
         _ => {}
     }
-    tell(context, id, Some(value));
+    queue_change(context, id, Some(value));
     if registration.stage.is_some() || is_engine(context, &registration) {
         let now = context.now();
         context.engines.lock().set_engine(now, &registration);
@@ -205,8 +212,9 @@
         .info();
 }
 
-/// Lets the other instances of the failure domain know, if this one reads for it.
-fn tell(context: &EntryContext, id: &EndpointId, value: Option<&[u8]>) {
+/// Queues a changed registration for the other instances of the failure domain; it is
+/// sent only if this instance is their reader.
+fn queue_change(context: &EntryContext, id: &EndpointId, value: Option<&[u8]>) {
     let now = context.now();
     let kept_for = context.directory.lock().kept_for(now, id);
     let change = ChangeMessage {
@@ -219,38 +227,40 @@
 }
 
 fn is_engine(context: &EntryContext, registration: &EndpointRegistration) -> bool {
-    let belief = context.belief.lock();
-    let service = belief
+    let tracker = context.belief.lock();
+    let service = tracker
         .table()
         .and_then(|table| table.service(&registration.service));
     service.is_some_and(|service| service.engine.is_some())
 }
 
-/// The registration is gone from the store.
+/// Handles a registration that is no longer in the store.
 pub fn unregister(context: &EntryContext, id: &EndpointId) {
     let now = context.now();
     let change = context.directory.lock().unregister(now, id);
     if change == DirectoryChange::Same {
         return;
     }
-    tell(context, id, None);
-    note_gone(context, id, change, "store");
-    forget_if_gone(context, id);
+    queue_change(context, id, None);
+    record_removal(context, id, change, "store");
+    forget_if_removed(context, id);
 }
 
-/// The reader of the failure domain says that the registration has lapsed.
-pub fn lapse(context: &EntryContext, id: &EndpointId, kept_for: TimeSpan, teller: &InstanceId) {
+/// Handles the message of the failure domain's reader that a registration has lapsed and
+/// is kept for `kept_for` at most.
+pub fn lapse(context: &EntryContext, id: &EndpointId, kept_for: TimeSpan, reader: &InstanceId) {
     let now = context.now();
     let change = context.directory.lock().lapse(now, id, kept_for);
     if change == DirectoryChange::Same {
         return;
     }
-    note_gone(context, id, change, teller.as_str());
-    forget_if_gone(context, id);
+    record_removal(context, id, change, reader.as_str());
+    forget_if_removed(context, id);
 }
 
-/// Tells what was made of a registration that went, and on whose word.
-fn note_gone(context: &EntryContext, id: &EndpointId, change: DirectoryChange, source: &str) {
+/// Logs and counts a removed registration with the resulting change, and the instance or
+/// store that reported it.
+fn record_removal(context: &EntryContext, id: &EndpointId, change: DirectoryChange, source: &str) {
     let outcome = format!("{change:?}");
     let counter = &context.metrics.registrations_gone;
     counter.with_label_values(&[outcome.as_str()]).inc();
@@ -265,7 +275,7 @@
     line.info();
 }
 
-fn forget_if_gone(context: &EntryContext, id: &EndpointId) {
+fn forget_if_removed(context: &EntryContext, id: &EndpointId) {
     if context.directory.lock().get(id).is_some() {
         return;
     }
@@ -282,6 +292,6 @@
             .with("endpoint", &id)
             .with("change", "lapsed_and_not_back")
             .info();
-        forget_if_gone(context, &id);
+        forget_if_removed(context, &id);
     }
 }
--- a/crates/ingress/src/sync/mod.rs
+++ b/crates/ingress/src/sync/mod.rs
@@ -1,4 +1,4 @@
-//! Following the store: what is in force, and which endpoints there are.
+//! Synchronising with the store: the configuration in force and the registered endpoints.
 
 pub mod configuration;
 pub mod copies;
@@ -14,38 +14,43 @@
 pub use self::endpoints::{lapse, register, unregister};
 use crate::context::EntryContext;
 
-/// The first wait after a call to the store failed; it doubles up to the last.
-const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest wait after a failed call: keys that stopped working for lack of
-/// news must work again soon after the store is back.
-const LONGEST_BACKOFF: Duration = Duration::from_millis(400);
+/// The delay after the first failed call to the store; it doubles with each further
+/// failure up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// The longest delay after a failed call. Keys that were refused because their status
+/// was too old must be accepted again soon after the store is back.
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
-/// How long a read that does not wait may take to be answered, and may pause while the
-/// answer comes. The store answers in 4 ms, and in 0.2 s while it is slow.
+/// The time within which a read that does not wait for records must be answered, and
+/// the longest pause within its answer. The store answers in 4 ms, and in 0.2 s while it
+/// is slow.
 pub const READ_TIMEOUT: TimeSpan = TimeSpan::from_millis(900);
 
-/// How many times the time that a whole read may take is doubled after failures.
-const PATIENCE_DOUBLINGS: u32 = 2;
+/// How many times the timeout of a full read is doubled after failures.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
 
-/// How long the answer to a read of everything may take to begin, and may pause, after
-/// `failures` in a row. When many instances start at once, the store takes seconds to
-/// send everything to all of them; reads that give up before and begin anew keep it
-/// busy with what nobody waits for, and no instance gets ready.
+/// The time within which the answer to a full read must begin, and the longest pause
+/// within it, after `failures` in a row. When many instances start at once, the store
+/// takes seconds to send everything to all of them. Reads that time out earlier and
+/// restart keep the store busy with answers that are discarded, and no instance becomes
+/// ready.
 pub fn full_read_timeout(failures: u32) -> TimeSpan {
-    let doublings = failures.min(PATIENCE_DOUBLINGS);
+    let doublings = failures.min(MAX_TIMEOUT_DOUBLINGS);
     TimeSpan::from_millis(READ_TIMEOUT.as_millis() << doublings)
 }
 
-/// How often an instance that is told by a reader looks whether it still is.
-const TOLD_INTERVAL: Duration = Duration::from_millis(200);
+/// How often an instance that follows a reader's relay checks whether it has to read the
+/// store itself.
+const RELAY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Waits until there may be something to read.
-async fn wait_for_relay(context: &EntryContext) {
+/// Waits for a wake-up, for [`RELAY_CHECK_INTERVAL`] at most.
+async fn wait_for_wake(context: &EntryContext) {
     let woken = context.wake.notified();
-    let _ = tokio::time::timeout(TOLD_INTERVAL, woken).await;
+    let _ = tokio::time::timeout(RELAY_CHECK_INTERVAL, woken).await;
 }
 
-/// Starts all followers; they end with `stop`.
+/// Spawns the tasks that follow the configuration and the endpoints; they end with
+/// `stop`.
 pub fn start(context: &Arc<EntryContext>, stop: &CancellationToken) {
     let configuration = configuration::follow(Arc::clone(context));
     let endpoints = endpoints::follow(Arc::clone(context));
@@ -60,8 +65,8 @@
     }
 }
 
-/// One call's way to the store: tells of losing and regaining it, and how long to
-/// wait before the next try.
+/// Counts the failures in a row of one kind of call to the store, logs the loss and the
+/// recovery of the store, and delays the next attempt.
 #[derive(Debug)]
 pub struct StoreBackoff {
     call: &'static str,
@@ -69,17 +74,18 @@
 }
 
 impl StoreBackoff {
-    /// A way that works, as far as known.
+    /// A back-off without failures, for the kind of call that log lines and metrics name
+    /// `call`.
     pub fn new(call: &'static str) -> StoreBackoff {
         StoreBackoff { call, failures: 0 }
     }
 
-    /// How long the next read of everything may take to begin.
+    /// The timeout of the next full read, see [`full_read_timeout`].
     pub fn read_timeout(&self) -> TimeSpan {
         full_read_timeout(self.failures)
     }
 
-    /// Notes an answer.
+    /// Records an answered call, which resets the count of failures.
     pub fn note_answer(&mut self, context: &EntryContext) {
         let counters = &context.metrics.store_calls;
         counters.with_label_values(&[self.call, "answered"]).inc();
@@ -92,14 +98,14 @@
         self.failures = 0;
     }
 
-    /// Notes a failure and waits before the next try.
+    /// Records a failed call and sleeps until the next attempt is due.
     pub async fn wait_after_failure(&mut self, context: &EntryContext, error: &CallError) {
         let counters = &context.metrics.store_calls;
         counters.with_label_values(&[self.call, "failed"]).inc();
-        let wait = FIRST_BACKOFF * 2_u32.pow(self.failures.min(8));
+        let delay = INITIAL_BACKOFF * 2_u32.pow(self.failures.min(8));
         self.failures += 1;
-        // The first, second, fourth and so on: an outage that lasts is told again
-        // without a line for each try.
+        // Logs failure 1, 2, 4 and so on, so that a long outage stays visible without a
+        // line for each attempt.
         if self.failures.is_power_of_two() {
             LogLine::new("store_lost")
                 .with("call", self.call)
@@ -107,6 +113,6 @@
                 .with("error", error)
                 .warn();
         }
-        tokio::time::sleep(wait.min(LONGEST_BACKOFF)).await;
+        tokio::time::sleep(delay.min(MAX_BACKOFF)).await;
     }
 }
