--- a/crates/ingress/src/peers/broadcast.rs
+++ b/crates/ingress/src/peers/broadcast.rs
@@ -1,4 +1,4 @@
-//! Telling the other instances, and listening to them.
+//! Sending this entry's state to the other instances, and receiving theirs.
 
 use std::{collections::BTreeSet, io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -26,90 +26,91 @@
     },
 };
 
-/// How often an entry tells the others what it has, with few of them. A prefill
-/// takes 15 to 200 ms; a picture that is older than that misleads.
-const TELL_INTERVAL: Duration = Duration::from_millis(60);
+/// The broadcast interval without other instances; it grows with their number. A prefill
+/// takes 15 to 200 ms, and load reports that are older than that lead to wrong decisions.
+const MIN_INTERVAL: Duration = Duration::from_millis(60);
 
-/// By how much the interval grows with each other instance. An entry hears some
-/// 260 words a second with 70 instances, 440 at most with more: 1 in 100 of a core.
-const INTERVAL_FOR_EACH: Duration = Duration::from_millis(3);
+/// By how much the broadcast interval grows with each other instance. An entry receives
+/// some 260 messages a second with 70 instances, and 440 at most with more; these take 1
+/// in 100 of a core.
+const INTERVAL_PER_PEER: Duration = Duration::from_millis(3);
 
-/// The longest interval: words count for some seconds only.
-const LONGEST_INTERVAL: Duration = Duration::from_millis(800);
+/// The longest broadcast interval: messages are valid for some seconds only.
+const MAX_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Up to how many entries all engines are considered for each request. What the
-/// others decide before they are heard grows with their number and with the interval
-/// at which they tell, which grows with their number too; so the share that is
-/// considered falls with the square of it.
-const ALL_CONSIDERED_BY: f64 = 10.0;
+/// The number of entries up to which all engines are considered for each request. The
+/// number of placements that are not yet known here grows with the number of entries and
+/// with their broadcast interval, which grows with that number too. So the share of engines
+/// that is considered falls with the square of the number of entries.
+const MAX_ENTRIES_FOR_ALL_ENGINES: f64 = 10.0;
 
-/// How often an entry with nothing to tell says that it is there.
-const BEAT: TimeSpan = TimeSpan::from_millis(1_000);
+/// How often an entry without updates sends a heartbeat.
+const HEARTBEAT_INTERVAL: TimeSpan = TimeSpan::from_millis(1_000);
 
-/// How often the reader of a failure domain tells the others there what it knows,
-/// and they tell it what they counted, with a stamp for it to name.
-const NEAR_INTERVAL: Duration = Duration::from_millis(250);
+/// How often the reader of a failure domain relays the state of the store to the others
+/// there, and they send it their usage counts and a stamp for it to echo.
+const SAME_DOMAIN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often the reader of the failure domain is told what was counted.
-const USAGE_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
+/// How often usage counts are sent to the reader of the failure domain.
+const USAGE_REPORT_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
 
-/// The talk of one entry.
+/// The socket and schedule with which one entry exchanges messages with the others.
 pub struct PeerBroadcaster {
     context: Arc<EntryContext>,
     frames: UdpFramed<BytesCodec>,
-    told_at: ClockTime,
-    choice: TargetSelector,
-    told_usage_at: ClockTime,
-    /// Whether the others last heard that this entry has something.
-    has_told_load: bool,
-    /// The failure domains that seem to be cut off from here.
-    silent_domains: BTreeSet<FailureDomain>,
+    broadcast_sent_at: ClockTime,
+    selector: TargetSelector,
+    usage_sent_at: ClockTime,
+    /// Whether the last broadcast reported any load.
+    has_sent_load: bool,
+    /// The failure domains that were unreachable at the last broadcast.
+    unreachable_domains: BTreeSet<FailureDomain>,
 }
 
 impl PeerBroadcaster {
-    /// Listens.
+    /// Binds the socket for datagrams.
     pub async fn bind(context: Arc<EntryContext>) -> io::Result<PeerBroadcaster> {
         let socket = UdpSocket::bind(local_address(&context)).await?;
         let instance = context.writer.instance.clone();
-        let choice = TargetSelector::new(instance, context.settings.domain.clone());
+        let selector = TargetSelector::new(instance, context.settings.domain.clone());
         Ok(PeerBroadcaster {
             context,
             frames: UdpFramed::new(socket, BytesCodec::new()),
-            told_at: ClockTime::default(),
-            choice,
-            told_usage_at: ClockTime::default(),
-            has_told_load: false,
-            silent_domains: BTreeSet::new(),
+            broadcast_sent_at: ClockTime::default(),
+            selector,
+            usage_sent_at: ClockTime::default(),
+            has_sent_load: false,
+            unreachable_domains: BTreeSet::new(),
         })
     }
 
-    /// Tells and listens for good.
+    /// Sends and receives; returns only if the socket is closed.
     pub async fn run(mut self) {
-        let mut tell_at = tokio::time::Instant::now();
-        let mut near_at = tell_at;
+        let mut broadcast_at = tokio::time::Instant::now();
+        let mut same_domain_at = broadcast_at;
         loop {
             tokio::select! {
-                () = tokio::time::sleep_until(near_at) => {
-                    let is_due = self.interval() > NEAR_INTERVAL;
+                () = tokio::time::sleep_until(same_domain_at) => {
+                    let is_due = self.interval() > SAME_DOMAIN_INTERVAL;
                     if is_due {
-                        self.tell_near().await;
+                        self.send_within_domain().await;
                     }
-                    near_at = tokio::time::Instant::now() + NEAR_INTERVAL;
+                    same_domain_at = tokio::time::Instant::now() + SAME_DOMAIN_INTERVAL;
                 }
                 () = self.context.wake.notified() => {
-                    // Something changed that the others wait for.
+                    // A change that the others of the failure domain wait for.
                     if self.context.is_reader() {
-                        self.tell_near().await;
+                        self.send_within_domain().await;
                     }
                 }
-                () = tokio::time::sleep_until(tell_at) => {
-                    self.tell().await;
-                    tell_at = tokio::time::Instant::now() + self.interval();
+                () = tokio::time::sleep_until(broadcast_at) => {
+                    self.broadcast().await;
+                    broadcast_at = tokio::time::Instant::now() + self.interval();
                 }
                 received = self.frames.next() => match received {
-                    Some(Ok((bytes, from))) => self.hear(&bytes, from),
-                    // An error of one datagram, such as one that its receiver
-                    // rejected, says nothing about the next.
+                    Some(Ok((bytes, from))) => self.receive(&bytes, from),
+                    // An error of one datagram, such as one that its recipient rejected,
+                    // does not concern later ones.
                     Some(Err(error)) => log::debug!("event=datagram_failed error={error:?}"),
                     None => return,
                 },
@@ -119,15 +120,15 @@
 
     fn interval(&self) -> Duration {
         let others = self.context.peers.lock().len() as u32;
-        (TELL_INTERVAL + INTERVAL_FOR_EACH * others).min(LONGEST_INTERVAL)
+        (MIN_INTERVAL + INTERVAL_PER_PEER * others).min(MAX_INTERVAL)
     }
 
-    async fn tell(&mut self) {
+    async fn broadcast(&mut self) {
         let now = self.context.now();
-        self.note_silent_domains(now);
+        self.update_unreachable_domains(now);
         self.context.share_budget();
         let entries = self.context.peers.lock().len() + 1;
-        let share = (ALL_CONSIDERED_BY / entries as f64).powi(2);
+        let share = (MAX_ENTRIES_FOR_ALL_ENGINES / entries as f64).powi(2);
         self.context.engines.lock().set_considered(share);
         let (loads, parts, refusing) = {
             let mut engines = self.context.engines.lock();
@@ -136,77 +137,85 @@
         };
         let stages = self.context.peers.lock().stage_orders(now);
         let relay = relay::message(&self.context, now);
-        let speaks = self.speaks_for_domain(now) || !stages.is_empty();
+        let is_cross_domain = self.is_domain_representative(now) || !stages.is_empty();
         let has_load = !loads.is_empty() || !refusing.is_empty() || relay.is_some();
-        let has_news = has_load || !parts.is_empty() || speaks || self.has_told_load;
-        if !has_news && now.since(self.told_at) < BEAT {
+        let has_update = has_load || !parts.is_empty() || is_cross_domain || self.has_sent_load;
+        if !has_update && now.since(self.broadcast_sent_at) < HEARTBEAT_INTERVAL {
             return;
         }
-        self.told_at = now;
-        self.has_told_load = !loads.is_empty();
+        self.broadcast_sent_at = now;
+        self.has_sent_load = !loads.is_empty();
         let message = PeerMessage::new(&loads, &parts)
             .with_stages(stages.clone())
             .with_demands(&self.context.demands.lock().own(now))
             .with_refusing(refusing.clone());
-        let receivers = self
-            .choice
+        let targets = self
+            .selector
             .broadcast_targets(now, &self.context.peers.lock());
-        self.send(now, message, relay, &receivers).await;
-        self.tell_rest(now, receivers).await;
-        if speaks {
-            self.tell_far(now, stages, refusing).await;
+        self.send(now, message, relay, &targets).await;
+        self.send_remaining_changes(now, targets).await;
+        if is_cross_domain {
+            self.send_to_other_domains(now, stages, refusing).await;
         }
     }
 
-    /// Whether this instance tells other failure domains what its own one has.
-    fn speaks_for_domain(&self, now: ClockTime) -> bool {
+    /// Whether this instance sends the state of its failure domain to other ones.
+    fn is_domain_representative(&self, now: ClockTime) -> bool {
         let peers = self.context.peers.lock();
         let (own, domain) = (&self.context.writer.instance, &self.context.settings.domain);
         !peers.is_full_mesh() && peers.is_representative(now, own, domain)
     }
 
-    /// Tells other failure domains what this one has, where not every instance tells
-    /// every other one. Queues are left out: they have changed before the word is there.
-    async fn tell_far(&mut self, now: ClockTime, stages: Vec<StageMessage>, refusing: Vec<u64>) {
-        let receivers = self
-            .choice
+    /// Sends the state of this failure domain to other ones, if not all instances send to
+    /// each other. Loads are left out: they change before the message arrives.
+    async fn send_to_other_domains(
+        &mut self,
+        now: ClockTime,
+        stages: Vec<StageMessage>,
+        refusing: Vec<u64>,
+    ) {
+        let targets = self
+            .selector
             .cross_domain_targets(now, &self.context.peers.lock());
-        if receivers.is_empty() {
+        if targets.is_empty() {
             return;
         }
         let message = PeerMessage::without_loads()
             .with_stages(stages)
             .with_refusing(refusing)
             .with_domain_demands(&self.context.demands.lock().heard(now));
-        self.send(now, message, None, &receivers).await;
+        self.send(now, message, None, &targets).await;
     }
 
-    /// Tells what had no room in the last datagram. Were it left out, each instance of
-    /// the failure domain would read all registrations from the store at once.
-    async fn tell_rest(&mut self, now: ClockTime, mut receivers: Vec<BroadcastTarget>) {
-        receivers.retain(|receiver| receiver.is_same_domain);
+    /// Sends the changes that did not fit into the last datagram. Without them, all
+    /// instances of the failure domain would read all registrations from the store at once.
+    async fn send_remaining_changes(&mut self, now: ClockTime, mut targets: Vec<BroadcastTarget>) {
+        targets.retain(|target| target.is_same_domain);
         while self.context.peers.lock().has_due_changes(now)
             && let Some(relay) = relay::message(&self.context, now)
         {
             let message = PeerMessage::without_loads();
-            self.send(now, message, Some(relay), &receivers).await;
+            self.send(now, message, Some(relay), &targets).await;
         }
     }
 
-    /// Endpoints of a failure domain that is cut off answer nothing: each request
-    /// sent there would wait for a timeout. The silence of all instances there
-    /// shows it before the first request has timed out.
-    fn note_silent_domains(&mut self, now: ClockTime) {
-        let silent = self.context.peers.lock().unreachable_domains(now);
-        if silent == self.silent_domains {
+    /// Updates the failure domains whose endpoints are avoided as unreachable, and logs
+    /// changes.
+    ///
+    /// A request that is sent to an unreachable domain waits for its timeout. Missing
+    /// messages from all instances there show the partition before the first request has
+    /// timed out.
+    fn update_unreachable_domains(&mut self, now: ClockTime) {
+        let unreachable = self.context.peers.lock().unreachable_domains(now);
+        if unreachable == self.unreachable_domains {
             return;
         }
-        for domain in silent.difference(&self.silent_domains) {
+        for domain in unreachable.difference(&self.unreachable_domains) {
             LogLine::new("domain_lost")
                 .with("failure_domain", domain)
                 .warn();
         }
-        for domain in self.silent_domains.difference(&silent) {
+        for domain in self.unreachable_domains.difference(&unreachable) {
             LogLine::new("domain_regained")
                 .with("failure_domain", domain)
                 .info();
@@ -214,27 +223,27 @@
         self.context
             .engines
             .lock()
-            .set_silent_domains(silent.clone());
+            .set_silent_domains(unreachable.clone());
         self.context
             .replicas
             .lock()
-            .set_silent_domains(silent.clone());
-        self.silent_domains = silent;
+            .set_silent_domains(unreachable.clone());
+        self.unreachable_domains = unreachable;
     }
 
-    /// Tells within the failure domain only: the reader tells what it knows, and
-    /// the others let it know that they are there.
-    async fn tell_near(&mut self) {
+    /// Sends within the failure domain only: from the reader the state of the store to all
+    /// others, from the others a heartbeat to the reader.
+    async fn send_within_domain(&mut self) {
         let now = self.context.now();
         let relay = relay::message(&self.context, now);
-        let mut receivers = self
-            .choice
+        let mut targets = self
+            .selector
             .same_domain_targets(now, &self.context.peers.lock());
         let is_reader = relay.is_some();
-        receivers.retain(|receiver| is_reader || receiver.is_reader);
+        targets.retain(|target| is_reader || target.is_reader);
         let message = PeerMessage::without_loads();
-        self.send(now, message, relay, &receivers).await;
-        self.tell_rest(now, receivers).await;
+        self.send(now, message, relay, &targets).await;
+        self.send_remaining_changes(now, targets).await;
     }
 
     async fn send(
@@ -242,38 +251,38 @@
         now: ClockTime,
         message: PeerMessage,
         relay: Option<RelayMessage>,
-        receivers: &[BroadcastTarget],
+        targets: &[BroadcastTarget],
     ) {
         let writer = &self.context.writer;
         let domain = &self.context.settings.domain;
         let message = message.with_sender(writer, domain, now.as_millis());
         let shared = message.encode_to_vec();
         let usage = self.usage_due(now);
-        for receiver in receivers {
-            let part = PerTargetMessage {
-                echo: receiver.stamp,
-                relay: relay.clone().filter(|_| receiver.is_same_domain),
-                usage: usage.clone().filter(|_| receiver.is_reader),
+        for target in targets {
+            let per_target = PerTargetMessage {
+                echo: target.stamp,
+                relay: relay.clone().filter(|_| target.is_same_domain),
+                usage: usage.clone().filter(|_| target.is_reader),
             };
             let mut bytes = BytesMut::from(&shared[..]);
-            bytes.extend_from_slice(&part.encode_to_vec());
-            let address = receiver.address;
+            bytes.extend_from_slice(&per_target.encode_to_vec());
+            let address = target.address;
             if let Err(error) = self.frames.send((bytes.freeze(), address)).await {
                 log::debug!("event=datagram_failed address={address} error={error:?}");
             }
         }
     }
 
-    /// What this entry counted, when it is time to tell the reader.
+    /// The usage counts of this entry if they are due to be sent to the reader.
     fn usage_due(&mut self, now: ClockTime) -> Option<UsageRecord> {
-        if now.since(self.told_usage_at) < USAGE_INTERVAL {
+        if now.since(self.usage_sent_at) < USAGE_REPORT_INTERVAL {
             return None;
         }
-        self.told_usage_at = now;
+        self.usage_sent_at = now;
         leader::recent_usage(&self.context)
     }
 
-    fn hear(&mut self, bytes: &BytesMut, from: SocketAddr) {
+    fn receive(&mut self, bytes: &BytesMut, from: SocketAddr) {
         let message = match PeerMessage::decode(&bytes[..]) {
             Ok(message) => message,
             Err(error) => {
@@ -287,7 +296,7 @@
         let domain = FailureDomain::new(message.domain.as_str());
         let (Ok(peer), Ok(domain)) = (peer, domain) else {
             LogLine::new("datagram_rejected")
-                .with("error", "no instance")
+                .with("error", "invalid instance or failure domain name")
                 .warn();
             return;
         };
@@ -308,7 +317,7 @@
         if let Some(usage) = &message.usage {
             leader::note_peer_usage(&self.context, usage);
         }
-        self.hear_demands(now, &peer, &domain, &message);
+        self.note_demands(now, &peer, &domain, &message);
         let (loads, parts) = (message.peer_loads(), message.peer_parts());
         let mut engines = self.context.engines.lock();
         if message.includes_loads {
@@ -322,7 +331,7 @@
         }
     }
 
-    fn hear_demands(
+    fn note_demands(
         &self,
         now: ClockTime,
         peer: &InstanceId,
@@ -330,24 +339,24 @@
         message: &PeerMessage,
     ) {
         let mut demands = self.context.demands.lock();
-        for (service, demand) in told_demands(&message.demands) {
+        for (service, demand) in decode_demands(&message.demands) {
             demands.note_peer(now, peer, service, demand);
         }
-        for (service, demand) in told_demands(&message.domain_demands) {
+        for (service, demand) in decode_demands(&message.domain_demands) {
             demands.note_domain(now, domain, service, demand);
         }
     }
 }
 
-/// The demands that a datagram tells; those of services that can't be named are dropped.
-fn told_demands(
+/// Decodes the demands of a datagram; those with an invalid service name are dropped.
+fn decode_demands(
     messages: &[DemandMessage],
 ) -> impl Iterator<Item = (ServiceName, EngineDemand)> + '_ {
-    messages.iter().filter_map(|told| {
-        let service = ServiceName::new(told.service.as_str());
+    messages.iter().filter_map(|message| {
+        let service = ServiceName::new(message.service.as_str());
         let service = service.inspect_err(|error| {
             log::debug!("event=demand_rejected error={error:?}");
         });
-        Some((service.ok()?, told.demand()))
+        Some((service.ok()?, message.demand()))
     })
 }
--- a/crates/ingress/src/peers/messages.rs
+++ b/crates/ingress/src/peers/messages.rs
@@ -1,4 +1,4 @@
-//! What entries write and say about themselves.
+//! The records and datagrams with which entries describe themselves to each other.
 
 use std::io;
 
@@ -18,16 +18,16 @@
     packing::{pack, unpack},
 };
 
-/// The most bytes that the changes of one datagram may have when they are unpacked.
-const CHANGES_LIMIT: ByteSize = ByteSize::new(1_000_000);
+/// The size limit of the decompressed changes of one datagram.
+const MAX_UNPACKED_CHANGES: ByteSize = ByteSize::new(1_000_000);
 
 /// An instance's registration in the store.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerRecord {
-    /// Where it listens for datagrams.
+    /// The socket address at which it receives datagrams.
     #[prost(string, tag = "1")]
     pub address: String,
-    /// Tells its starts apart.
+    /// The time of its start in ms, which distinguishes its restarts.
     #[prost(uint64, tag = "2")]
     pub start: u64,
     /// Its failure domain.
@@ -35,27 +35,27 @@
     pub domain: String,
 }
 
-/// What an instance has at one engine.
+/// The load that an instance has placed on one engine.
 #[derive(Clone, PartialEq, Message)]
 pub struct LoadMessage {
     /// The engine, by the hash of its id.
     #[prost(fixed64, tag = "1")]
     pub engine: u64,
-    /// Prefill work in ms, by urgency.
+    /// Queued prefill work in ms, by urgency.
     #[prost(uint32, repeated, tag = "2")]
     pub prefill_ms: Vec<u32>,
-    /// Requests that run.
+    /// The number of running requests.
     #[prost(uint32, tag = "3")]
     pub running: u32,
 }
 
-/// Parts that were sent to one engine.
+/// The prompt parts that were sent to one engine.
 #[derive(Clone, PartialEq, Message)]
 pub struct PartsMessage {
     /// The engine, by the hash of its id.
     #[prost(fixed64, tag = "1")]
     pub engine: u64,
-    /// The parts.
+    /// The parts, by their ids.
     #[prost(fixed64, repeated, tag = "2")]
     pub parts: Vec<u64>,
 }
@@ -63,76 +63,77 @@
 /// One datagram.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerMessage {
-    /// Who tells.
+    /// The sender.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// Everything that it has at engines.
+    /// The complete load that the sender has placed on engines.
     #[prost(message, repeated, tag = "2")]
     pub loads: Vec<LoadMessage>,
-    /// Parts sent since its last datagram.
+    /// Parts sent to engines since the sender's last datagram.
     #[prost(message, repeated, tag = "3")]
     pub parts: Vec<PartsMessage>,
-    /// Stages that this instance ordered lately, as the steward.
+    /// Stage changes that the sender ordered recently as the leader.
     #[prost(message, repeated, tag = "4")]
     pub stages: Vec<StageMessage>,
-    /// Tells the starts of the instance apart.
+    /// The time of the sender's start in ms, which distinguishes its restarts.
     #[prost(uint64, tag = "5")]
     pub start: u64,
-    /// Its failure domain.
+    /// The sender's failure domain.
     #[prost(string, tag = "6")]
     pub domain: String,
-    /// Its clock, in ms.
+    /// The sender's clock in ms.
     #[prost(uint64, tag = "7")]
     pub stamp: u64,
-    /// The last stamp that it received from the receiver.
+    /// The last stamp that the sender received from the recipient; 0 for none.
     #[prost(uint64, tag = "8")]
     pub echo: u64,
-    /// What the reader of a failure domain tells the others there.
+    /// The store state that the reader of a failure domain relays to the others there.
     #[prost(message, optional, tag = "9")]
     pub relay: Option<RelayMessage>,
-    /// What the sender counted, for the reader of its failure domain to publish.
+    /// The sender's usage counts, for the reader of its failure domain to publish.
     #[prost(message, optional, tag = "10")]
     pub usage: Option<UsageRecord>,
-    /// Whether loads and parts are told: none means that there are none.
+    /// Whether the datagram reports loads and parts; if so, an empty list means that there
+    /// are none.
     #[prost(bool, tag = "11")]
     pub includes_loads: bool,
-    /// Engines that refused the sender lately, by the hashes of their ids.
+    /// Engines that refused the sender recently, by the hashes of their ids.
     #[prost(fixed64, repeated, tag = "12")]
     pub refusing: Vec<u64>,
-    /// What the sender's requests ask of engines.
+    /// The demand of the sender's requests for engines.
     #[prost(message, repeated, tag = "13")]
     pub demands: Vec<DemandMessage>,
-    /// What the requests of all entries of the sender's failure domain ask of engines,
-    /// for other failure domains.
+    /// The demand for engines of all entries of the sender's failure domain, for entries in
+    /// other failure domains.
     #[prost(message, repeated, tag = "14")]
     pub domain_demands: Vec<DemandMessage>,
 }
 
-/// What an instance's requests ask of the engines of a service.
+/// The demand for engines of one service.
 #[derive(Clone, PartialEq, Message)]
 pub struct DemandMessage {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Thousandths of an engine that prefills.
+    /// Engines kept busy with prefills, in thousandths.
     #[prost(uint32, tag = "2")]
     pub prefill: u32,
-    /// Thousandths of an engine whose slots or memory are taken by what runs.
+    /// Engines whose slots or memory the running requests fill, in thousandths.
     #[prost(uint32, tag = "3")]
     pub held: u32,
-    /// Hundredths of requests that run.
+    /// Running requests, in hundredths.
     #[prost(uint32, tag = "4")]
     pub running: u32,
-    /// Thousandths of the speed of a request that has an engine for itself; 0 if it
-    /// is not known.
+    /// Speed relative to a request that has an engine to itself, in thousandths; 0 if it is
+    /// not known.
     #[prost(uint32, tag = "5")]
     pub speed: u32,
 }
 
 impl DemandMessage {
-    /// The demand as it is told.
+    /// Encodes a demand.
     pub fn new(service: &ServiceName, demand: EngineDemand) -> DemandMessage {
-        let thousandths = |figure: f64| (figure * 1_000.0).round() as u32;
+        let thousandths = |value: f64| (value * 1_000.0).round() as u32;
         DemandMessage {
             service: service.to_string(),
             prefill: thousandths(demand.prefill),
@@ -142,20 +143,21 @@
         }
     }
 
-    /// The demand as the slices know it.
+    /// Decodes the demand.
     pub fn demand(&self) -> EngineDemand {
-        let figure = |thousandths: u32| f64::from(thousandths) / 1_000.0;
+        let value = |thousandths: u32| f64::from(thousandths) / 1_000.0;
         EngineDemand {
-            prefill: figure(self.prefill),
-            held: figure(self.held),
+            prefill: value(self.prefill),
+            held: value(self.held),
             running: f64::from(self.running) / 100.0,
-            speed: (self.speed > 0).then(|| figure(self.speed)),
+            speed: (self.speed > 0).then(|| value(self.speed)),
         }
     }
 }
 
-/// What differs between the receivers of a datagram; it is appended to the part
-/// that is the same for all, which makes it one message.
+/// The fields of a datagram that differ between its recipients. Their encoding is appended
+/// to that of the fields that are the same for all, and the two decode as one
+/// [`PeerMessage`].
 #[derive(Clone, PartialEq, Message)]
 pub struct PerTargetMessage {
     /// As in [`PeerMessage`].
@@ -169,45 +171,45 @@
     pub usage: Option<UsageRecord>,
 }
 
-/// What a reader knows from the store.
+/// The state of the store as its reader has it.
 #[derive(Clone, PartialEq, Message)]
 pub struct RelayMessage {
-    /// The version of the configuration in force.
+    /// The version of the configuration in force at the reader.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// How old the knowledge of configuration and keys is, in ms.
+    /// The age in ms of the reader's configuration and keys.
     #[prost(uint64, tag = "2")]
     pub keys_age_ms: u64,
-    /// How old the knowledge of endpoints is, in ms.
+    /// The age in ms of the reader's endpoint directory.
     #[prost(uint64, tag = "3")]
     pub endpoints_age_ms: u64,
-    /// The digest of the endpoints.
+    /// The digest of the reader's endpoint directory.
     #[prost(fixed64, tag = "4")]
     pub digest: u64,
-    /// Registrations that changed lately, a compressed [`ChangesMessage`].
+    /// Recently changed registrations, a compressed [`ChangesMessage`].
     #[prost(bytes = "vec", tag = "5")]
     pub packed_changes: Vec<u8>,
-    /// The copy of that version, if there is or will be one.
+    /// The copy of that version, if one is available or being made.
     #[prost(message, optional, tag = "6")]
     pub copy: Option<CopyMessage>,
-    /// The offset of the configuration that the reader reads next.
+    /// The offset in the configuration topic that the reader reads next.
     #[prost(uint64, tag = "7")]
     pub configuration_next: u64,
 }
 
 impl RelayMessage {
-    /// The registrations that changed.
+    /// Decompresses and decodes the changed registrations.
     pub fn changes(&self) -> io::Result<Vec<ChangeMessage>> {
         if self.packed_changes.is_empty() {
             return Ok(Vec::new());
         }
-        let bytes = unpack(&self.packed_changes, CHANGES_LIMIT)?;
+        let bytes = unpack(&self.packed_changes, MAX_UNPACKED_CHANGES)?;
         let message = ChangesMessage::decode(&bytes[..])?;
         Ok(message.changes)
     }
 }
 
-/// Registrations as a [`RelayMessage`] carries them.
+/// Encodes and compresses changed registrations for a [`RelayMessage`].
 pub fn pack_changes(changes: Vec<ChangeMessage>) -> io::Result<Vec<u8>> {
     if changes.is_empty() {
         return Ok(Vec::new());
@@ -215,21 +217,22 @@
     pack(&ChangesMessage { changes }.encode_to_vec())
 }
 
-/// Registrations that changed.
+/// Changed registrations.
 #[derive(Clone, PartialEq, Message)]
 struct ChangesMessage {
-    /// The newest first.
+    /// The changes, newest first.
     #[prost(message, repeated, tag = "1")]
     changes: Vec<ChangeMessage>,
 }
 
-/// A copy of the configuration; without records as long as it is being made.
+/// The location of a copy of the configuration; it has no records while the copy is being
+/// made.
 #[derive(Clone, PartialEq, Message)]
 pub struct CopyMessage {
     /// The offset of its first record.
     #[prost(uint64, tag = "1")]
     pub offset: u64,
-    /// How many records it has.
+    /// The number of its records.
     #[prost(uint32, tag = "2")]
     pub records: u32,
     /// Its size in bytes.
@@ -238,7 +241,7 @@
 }
 
 impl CopyMessage {
-    /// The state as it is sent.
+    /// Encodes the state of a copy.
     pub fn new(state: CopyState) -> Option<CopyMessage> {
         match state {
             CopyState::Absent => None,
@@ -251,7 +254,7 @@
         }
     }
 
-    /// The state as the slices know it.
+    /// Decodes the state of a copy.
     pub fn state(message: Option<&CopyMessage>) -> CopyState {
         match message {
             None => CopyState::Absent,
@@ -265,33 +268,33 @@
     }
 }
 
-/// A registration that changed.
+/// A changed registration.
 #[derive(Clone, PartialEq, Message)]
 pub struct ChangeMessage {
     /// The endpoint.
     #[prost(string, tag = "1")]
     pub endpoint: String,
-    /// The registration as it lies in the store; none if it is gone.
+    /// The registration as stored; `None` if it was removed.
     #[prost(bytes = "vec", optional, tag = "2")]
     pub value: Option<Vec<u8>>,
-    /// For how many ms it is kept although it is gone.
+    /// For how many ms the endpoint is kept although its registration was removed.
     #[prost(uint64, optional, tag = "3")]
     pub kept_for_ms: Option<u64>,
 }
 
-/// An order to an engine to change its stage.
+/// An order to an engine to change to a stage.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct StageMessage {
     /// The engine, by the hash of its id.
     #[prost(fixed64, tag = "1")]
     pub engine: u64,
-    /// Whether it is to prefill; it is to run requests otherwise.
+    /// Whether the stage is prefill; it is decode otherwise.
     #[prost(bool, tag = "2")]
     pub prefills: bool,
 }
 
 impl StageMessage {
-    /// The stage that was ordered.
+    /// The ordered stage.
     pub fn stage(self) -> EngineStage {
         match self.prefills {
             true => EngineStage::Prefill,
@@ -308,23 +311,23 @@
 }
 
 impl PeerMessage {
-    /// A datagram.
+    /// A datagram that reports the given loads and parts.
     pub fn new(loads: &[ToldLoad], parts: &[ToldPart]) -> PeerMessage {
         let mut by_engine: Vec<PartsMessage> = Vec::new();
-        for told in parts {
-            match by_engine.iter_mut().find(|m| m.engine == told.engine) {
-                Some(message) if message.parts.contains(&told.part) => {}
-                Some(message) => message.parts.push(told.part),
+        for sent in parts {
+            match by_engine.iter_mut().find(|m| m.engine == sent.engine) {
+                Some(message) if message.parts.contains(&sent.part) => {}
+                Some(message) => message.parts.push(sent.part),
                 None => by_engine.push(PartsMessage {
-                    engine: told.engine,
-                    parts: vec![told.part],
+                    engine: sent.engine,
+                    parts: vec![sent.part],
                 }),
             }
         }
-        let loads = loads.iter().map(|told| LoadMessage {
-            engine: told.engine,
-            prefill_ms: told.load.prefill_ms.iter().map(|ms| *ms as u32).collect(),
-            running: told.load.running,
+        let loads = loads.iter().map(|placed| LoadMessage {
+            engine: placed.engine,
+            prefill_ms: placed.load.prefill_ms.iter().map(|ms| *ms as u32).collect(),
+            running: placed.load.running,
         });
         PeerMessage {
             includes_loads: true,
@@ -334,12 +337,12 @@
         }
     }
 
-    /// A datagram that says nothing of loads.
+    /// A datagram that does not report loads and parts.
     pub fn without_loads() -> PeerMessage {
         PeerMessage::default()
     }
 
-    /// Adds who tells, and when.
+    /// Sets the sender, its failure domain and its clock in ms.
     pub fn with_sender(
         mut self,
         writer: &MeterWriter,
@@ -353,36 +356,36 @@
         self
     }
 
-    /// Adds the engines that refused the sender.
+    /// Sets the engines that refused the sender, by the hashes of their ids.
     pub fn with_refusing(mut self, refusing: Vec<u64>) -> PeerMessage {
         self.refusing = refusing;
         self
     }
 
-    /// Adds what the sender's requests ask of engines.
+    /// Sets the demand of the sender's requests for engines.
     pub fn with_demands(mut self, demands: &[(ServiceName, EngineDemand)]) -> PeerMessage {
         self.demands = demand_messages(demands);
         self
     }
 
-    /// Adds what the requests of the sender's whole failure domain ask of engines.
+    /// Sets the demand for engines of the sender's whole failure domain.
     pub fn with_domain_demands(mut self, demands: &[(ServiceName, EngineDemand)]) -> PeerMessage {
         self.domain_demands = demand_messages(demands);
         self
     }
 
-    /// Adds the stages that were ordered lately.
+    /// Sets the recently ordered stage changes.
     pub fn with_stages(mut self, stages: Vec<StageMessage>) -> PeerMessage {
         self.stages = stages;
         self
     }
 
-    /// The loads as the slices know them.
+    /// Decodes the loads.
     pub fn peer_loads(&self) -> Vec<ToldLoad> {
         let loads = self.loads.iter().map(|message| {
             let mut prefill_ms = [0.0; RANKS];
-            for (rank, told) in prefill_ms.iter_mut().zip(&message.prefill_ms) {
-                *rank = f64::from(*told);
+            for (rank, sent_ms) in prefill_ms.iter_mut().zip(&message.prefill_ms) {
+                *rank = f64::from(*sent_ms);
             }
             ToldLoad {
                 engine: message.engine,
@@ -395,7 +398,7 @@
         loads.collect()
     }
 
-    /// The parts as the slices know them.
+    /// Decodes the parts.
     pub fn peer_parts(&self) -> Vec<ToldPart> {
         let parts = self.parts.iter().flat_map(|message| {
             let engine = message.engine;
--- a/crates/ingress/src/peers/mod.rs
+++ b/crates/ingress/src/peers/mod.rs
@@ -1,11 +1,11 @@
-//! The other entry instances: who they are, and what entries tell each other.
+//! The other entry instances, and the messages that entries exchange.
 //!
-//! Each instance registers its address in the store once at its start and reads
-//! who has before it; who comes later makes itself heard. What is told is soft:
-//! which prefills are queued where, and which engines hold which parts. It goes
-//! by datagrams, in full each time, so one that is lost is made good by the next,
-//! and no connection can go silent. An entry that hears nobody serves from its
-//! own books alone.
+//! Each instance registers its address in the store once at its start and reads the
+//! earlier registrations; instances that start later send it messages, from which it takes
+//! their addresses. Messages hold soft state: which prefills are queued at which engines, and
+//! which engines hold which prompt parts. Each is one datagram with the complete loads, so
+//! the next one makes up for one that was lost, and there is no connection that can stall.
+//! An entry that receives no messages serves requests by its own state alone.
 
 mod broadcast;
 mod messages;
@@ -25,13 +25,14 @@
 };
 use crate::context::EntryContext;
 
-/// Starts registering, following and talking; all end with `stop`.
+/// Binds the socket and spawns the tasks that exchange messages with the other instances
+/// and register this one; they end with `stop`.
 pub async fn start(context: &Arc<EntryContext>, stop: &CancellationToken) -> io::Result<()> {
-    let broadcast = broadcast::PeerBroadcaster::bind(Arc::clone(context)).await?;
+    let broadcaster = broadcast::PeerBroadcaster::bind(Arc::clone(context)).await?;
     let token = stop.clone();
-    tokio::spawn(async move { token.run_until_cancelled(broadcast.run()).await });
-    let follow = registry::register_and_read(Arc::clone(context));
+    tokio::spawn(async move { token.run_until_cancelled(broadcaster.run()).await });
+    let registration = registry::register_and_read(Arc::clone(context));
     let token = stop.clone();
-    tokio::spawn(async move { token.run_until_cancelled(follow).await });
+    tokio::spawn(async move { token.run_until_cancelled(registration).await });
     Ok(())
 }
--- a/crates/ingress/src/peers/registry.rs
+++ b/crates/ingress/src/peers/registry.rs
@@ -1,4 +1,4 @@
-//! Registering in the store, and reading who else has.
+//! Registering this instance in the store, and reading the registrations of the others.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -21,8 +21,8 @@
 
 const PART: TopicPart = TopicPart::first("keyed.peers");
 
-/// Registers this instance and reads who else has. Whoever starts later reads this
-/// registration and makes itself heard.
+/// Registers this instance and reads the registrations of the others. Instances that start
+/// later read this registration and send messages to this instance.
 pub async fn register_and_read(context: Arc<EntryContext>) {
     let mut backoff = StoreBackoff::new("peers");
     while let Err(error) = register(&context).await {
@@ -49,21 +49,21 @@
     appended.await.map(drop)
 }
 
-/// Where this instance listens for datagrams.
+/// The socket address at which this instance receives datagrams.
 pub fn local_address(context: &EntryContext) -> SocketAddr {
     let settings = &context.settings;
     SocketAddr::new(settings.callers_address.ip(), settings.peer_port)
 }
 
-async fn read_newest(context: &EntryContext, patience: TimeSpan) -> Result<(), CallError> {
+async fn read_newest(context: &EntryContext, timeout: TimeSpan) -> Result<(), CallError> {
     let mut after: Option<String> = None;
     loop {
         let page = context
             .store
-            .newest(PART, after.as_deref(), patience)
+            .newest(PART, after.as_deref(), timeout)
             .await?;
         for item in &page.items {
-            take(context, &item.key, &item.value);
+            add_peer(context, &item.key, &item.value);
         }
         after = page.items.last().map(|item| item.key.clone());
         if !page.has_more || after.is_none() {
@@ -72,7 +72,7 @@
     }
 }
 
-fn take(context: &EntryContext, key: &str, value: &[u8]) {
+fn add_peer(context: &EntryContext, key: &str, value: &[u8]) {
     let instance = InstanceId::new(key);
     let record = PeerRecord::decode(value);
     let (Ok(instance), Ok(record)) = (instance, record) else {
--- a/crates/ingress/src/peers/relay.rs
+++ b/crates/ingress/src/peers/relay.rs
@@ -1,4 +1,4 @@
-//! Telling a failure domain what its reader knows, and taking the reader's word.
+//! Relaying the state of the store from the reader of a failure domain to the others there.
 
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
@@ -23,22 +23,22 @@
         self.peers.lock().is_reader(self.now(), own, domain)
     }
 
-    /// Who reads the store for this failure domain.
+    /// The instance that reads the store for this failure domain.
     pub fn reader(&self) -> InstanceId {
         let (own, domain) = (&self.writer.instance, &self.settings.domain);
         self.peers.lock().reader(self.now(), own, domain)
     }
 
-    /// Whether the knowledge of keys is too old to be anybody's word.
+    /// Whether the configuration and keys here are older than relayed ones may be.
     pub fn must_read_keys_by_age(&self) -> bool {
         let now = self.now();
         let limit = told_limit(self.settings.bounds.configuration);
         !self.belief.lock().is_fresh(now, limit)
     }
 
-    /// Whether configuration and keys have to be read from the store here: nobody
-    /// reads for this instance, the reader's word is too old, or it advertises a newer
-    /// version that can be fetched.
+    /// Whether configuration and keys must be read from the store here: this instance is the
+    /// reader, the relayed state is too old, or the reader advertises a newer version that
+    /// can be fetched.
     pub fn must_read_keys(&self) -> bool {
         let advertised = self.relayed.lock().configuration;
         let is_behind = self.belief.lock().version() < Some(advertised.version());
@@ -46,27 +46,29 @@
         self.must_read_keys_by_age() || (is_behind && is_available) || self.is_reader()
     }
 
-    /// Whether the endpoints have to be read from the store here.
+    /// Whether the endpoints must be read from the store here: this instance is the reader,
+    /// the relayed state is too old, or it differs from the directory here.
     pub fn must_read_endpoints(&self) -> bool {
         let now = self.now();
         let relayed = self.relayed.lock();
         let known_at = relayed.endpoints_known_at;
         let limit = told_limit(self.settings.bounds.leaving);
-        let is_old = known_at.is_none_or(|at| now.since(at) >= limit);
+        let is_stale = known_at.is_none_or(|at| now.since(at) >= limit);
         let differs = relayed.must_resync;
         drop(relayed);
-        is_old || differs || self.is_reader()
+        is_stale || differs || self.is_reader()
     }
 }
 
-/// What this instance tells its failure domain, if it reads for it.
+/// The relay message of this instance, with the due changes; `None` unless it is the reader
+/// and has read the store.
 pub fn message(context: &EntryContext, now: ClockTime) -> Option<RelayMessage> {
     if !context.is_reader() {
         return None;
     }
     let (version, keys_age) = {
-        let belief = context.belief.lock();
-        (belief.version()?, belief.age(now)?)
+        let tracker = context.belief.lock();
+        (tracker.version()?, tracker.age(now)?)
     };
     let (endpoints_known_at, configuration_next) = {
         let relayed = context.relayed.lock();
@@ -92,7 +94,7 @@
     })
 }
 
-/// Takes the word of the reader of this instance's failure domain.
+/// Applies the relay message in `message` if `peer` is the reader of this failure domain.
 pub fn apply(context: &EntryContext, peer: &InstanceId, message: &PeerMessage) {
     let Some(relay) = &message.relay else { return };
     let now = context.now();
@@ -105,27 +107,28 @@
     };
     let keys_known_at = echo.known_at(TimeSpan::from_millis(relay.keys_age_ms));
     let endpoints_known_at = echo.known_at(TimeSpan::from_millis(relay.endpoints_age_ms));
-    // Before the changes: whether a registration can have lapsed depends on it.
+    // Precedes the changes: whether a registration can have lapsed depends on the time of
+    // the store's last answer.
     context.directory.lock().note_return(endpoints_known_at);
     match relay.changes() {
         Ok(changes) => {
             for change in &changes {
-                take_change(context, peer, change);
+                apply_change(context, peer, change);
             }
         }
         Err(error) => LogLine::new("relay_rejected").with("error", error).warn(),
     }
     {
-        let mut belief = context.belief.lock();
-        belief.note_advertised(now, relay.version);
-        if belief.version() == Some(relay.version) {
-            belief.confirm(keys_known_at);
+        let mut tracker = context.belief.lock();
+        tracker.note_advertised(now, relay.version);
+        if tracker.version() == Some(relay.version) {
+            tracker.confirm(keys_known_at);
         }
     }
     let digest = context.directory.lock().digest();
     let mut relayed = context.relayed.lock();
     if relay.version > relayed.configuration.version() {
-        note_advertised_version(context, peer, relay.version);
+        log_advertised_version(context, peer, relay.version);
     }
     let advert = ConfigurationAdvert {
         version: relay.version,
@@ -144,7 +147,7 @@
     }
 }
 
-fn note_advertised_version(context: &EntryContext, peer: &InstanceId, version: u64) {
+fn log_advertised_version(context: &EntryContext, peer: &InstanceId, version: u64) {
     context.metrics.advertised_version.set(version as i64);
     let own = context.belief.lock().version();
     if own == Some(version) {
@@ -158,7 +161,7 @@
         .info();
 }
 
-fn take_change(context: &EntryContext, teller: &InstanceId, change: &ChangeMessage) {
+fn apply_change(context: &EntryContext, reader: &InstanceId, change: &ChangeMessage) {
     let id = match EndpointId::new(change.endpoint.as_str()) {
         Ok(id) => id,
         Err(error) => {
@@ -170,7 +173,7 @@
         (Some(value), _) => sync::register(context, &id, value),
         (None, Some(kept_for_ms)) => {
             let kept_for = TimeSpan::from_millis(kept_for_ms);
-            sync::lapse(context, &id, kept_for, teller);
+            sync::lapse(context, &id, kept_for, reader);
         }
         (None, None) => sync::unregister(context, &id),
     }
--- a/crates/ingress/src/peers/table.rs
+++ b/crates/ingress/src/peers/table.rs
@@ -1,4 +1,4 @@
-//! Which other instances are known.
+//! The other instances, and the changes that are to be sent to them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,84 +14,86 @@
 
 use crate::peers::messages::{ChangeMessage, StageMessage};
 
-/// How long an instance counts as alive after its last word.
-pub const ALIVE_FOR: TimeSpan = TimeSpan::from_millis(3_000);
+/// How long an instance counts as alive after its last message.
+pub const ALIVE_TIMEOUT: TimeSpan = TimeSpan::from_millis(3_000);
 
-/// After how long without a word from any of its instances a failure domain is
-/// taken to be cut off. Each instance with work speaks at least once in 0.8 s, and
-/// an idle one once a second.
-const SILENT_AFTER: TimeSpan = TimeSpan::from_millis(1_100);
+/// The time without a message from any of its instances after which a failure domain counts
+/// as unreachable. Each instance with work sends at least once in 0.8 s, and an idle one
+/// once a second.
+const UNREACHABLE_AFTER: TimeSpan = TimeSpan::from_millis(1_100);
 
-/// After how long a silent failure domain is judged by its endpoints alone: it may
-/// have no instances any more.
-const FORGOTTEN_AFTER: TimeSpan = TimeSpan::from_millis(60_000);
+/// The time without a message after which a failure domain no longer counts as unreachable,
+/// since it may have no instances any more. Its endpoints are then judged by their own
+/// answers alone.
+const UNREACHABLE_UNTIL: TimeSpan = TimeSpan::from_millis(60_000);
 
-/// How long after the registrations were read all instances are known: those that
-/// start at the same moment register and speak within it.
-const KNOWN_AFTER: TimeSpan = TimeSpan::from_millis(1_500);
+/// The time after the read of the registrations within which instances that start at the
+/// same moment register and send their first message.
+const DISCOVERY_PERIOD: TimeSpan = TimeSpan::from_millis(1_500);
 
-/// Up to how many instances each tells every other one what it has. What all instances
-/// send grows with the square of their number; beyond this only speakers are heard in
-/// other failure domains.
-const DIRECT_UP_TO: usize = 60;
+/// The number of peers from which on only the representatives of a failure domain send to
+/// other failure domains. With fewer, all instances send to each other, and the number of
+/// messages grows with the square of the number of instances.
+const MIN_PEERS_FOR_REPRESENTATIVES: usize = 60;
 
-/// How many instances of a failure domain speak for it elsewhere. One that fails is
-/// missed by its own failure domain after some seconds only.
-const SPEAKERS: usize = 3;
+/// The number of instances of a failure domain that represent it in the other ones. There
+/// are several because the failure of one is detected in its own failure domain after some
+/// seconds only.
+const REPRESENTATIVES_PER_DOMAIN: usize = 3;
 
-/// How long an order is told: datagrams get lost.
-const ORDER_TOLD_FOR: TimeSpan = TimeSpan::from_millis(1_500);
+/// How long an order is repeated, since datagrams can be lost.
+const ORDER_SEND_PERIOD: TimeSpan = TimeSpan::from_millis(1_500);
 
-/// How long a changed registration is told.
-const CHANGE_TOLD_FOR: TimeSpan = TimeSpan::from_millis(1_200);
+/// How long after it was observed a changed registration is still sent.
+const CHANGE_SEND_PERIOD: TimeSpan = TimeSpan::from_millis(1_200);
 
-/// How long after a change was told it is told again, in case the datagram was lost.
-const CHANGE_REPEAT: TimeSpan = TimeSpan::from_millis(400);
+/// The interval at which a change is sent again, in case the datagram was lost.
+const CHANGE_RESEND_INTERVAL: TimeSpan = TimeSpan::from_millis(400);
 
-/// The most changes that are told in one datagram; the rest follows in further ones.
+/// The maximum number of changes in one datagram; the rest follows in further ones.
 pub const MAX_CHANGES_PER_DATAGRAM: usize = 48;
 
-/// Another instance.
+/// Another entry instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct KnownPeer {
-    /// Where it listens for datagrams.
+    /// The socket address at which it receives datagrams.
     pub address: SocketAddr,
-    /// Tells its starts apart.
+    /// The time of its start in ms, which distinguishes its restarts.
     pub start: u64,
     /// Its failure domain.
     pub domain: FailureDomain,
-    /// When it was last heard.
+    /// When its last message arrived; `None` before the first.
     #[serde(rename = "heard_at")]
     pub last_seen: Option<ClockTime>,
-    /// Its own clock's time in its last word, to be sent back to it.
+    /// Its clock in ms as of its last message, to be echoed to it; 0 before the first.
     pub stamp: u64,
 }
 
 impl KnownPeer {
-    /// Whether it was heard lately.
+    /// Whether its last message arrived at most [`ALIVE_TIMEOUT`] ago.
     pub fn is_alive(&self, now: ClockTime) -> bool {
         self.last_seen
-            .is_some_and(|heard| now.since(heard) <= ALIVE_FOR)
+            .is_some_and(|last_seen| now.since(last_seen) <= ALIVE_TIMEOUT)
     }
 }
 
-/// A registration that this instance saw change.
+/// A changed registration that this instance observed.
 #[derive(Clone, Debug)]
-struct SeenChange {
-    seen_at: ClockTime,
-    told_at: Option<ClockTime>,
+struct ObservedChange {
+    observed_at: ClockTime,
+    sent_at: Option<ClockTime>,
     change: ChangeMessage,
 }
 
-impl SeenChange {
+impl ObservedChange {
     fn is_recent(&self, now: ClockTime) -> bool {
-        now.since(self.seen_at) < CHANGE_TOLD_FOR
+        now.since(self.observed_at) < CHANGE_SEND_PERIOD
     }
 
     fn is_due(&self, now: ClockTime) -> bool {
-        let was_told = self.told_at;
-        let is_missing = was_told.is_none_or(|at| now.since(at) >= CHANGE_REPEAT);
-        is_missing && self.is_recent(now)
+        let last_sent = self.sent_at;
+        let is_send_due = last_sent.is_none_or(|at| now.since(at) >= CHANGE_RESEND_INTERVAL);
+        is_send_due && self.is_recent(now)
     }
 }
 
@@ -99,21 +101,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct PeerTable {
     peers: BTreeMap<InstanceId, KnownPeer>,
-    /// Stages that this instance ordered, for the others to know.
-    ordered: Vec<(ClockTime, StageMessage)>,
-    /// Registrations that this instance saw change, for the others to know.
-    changes: Vec<SeenChange>,
-    /// When all registrations of instances were read.
+    /// Stage changes that this instance ordered, to be sent to the others.
+    stage_orders: Vec<(ClockTime, StageMessage)>,
+    /// Changed registrations that this instance observed, to be sent to the others.
+    changes: Vec<ObservedChange>,
+    /// When the registrations of all instances were first read.
     read_at: Option<ClockTime>,
 }
 
 impl PeerTable {
-    /// Nobody.
+    /// An empty table.
     pub fn new() -> PeerTable {
         PeerTable::default()
     }
 
-    /// An instance registered, or was heard for the first time.
+    /// Adds an instance, or replaces it if `peer` is a later start of it.
     pub fn register(&mut self, instance: &InstanceId, peer: KnownPeer) {
         let known = self.peers.get(instance);
         if known.is_some_and(|known| known.start >= peer.start) {
@@ -122,7 +124,7 @@
         self.peers.insert(instance.clone(), peer);
     }
 
-    /// An instance was heard.
+    /// Records a message of a registered instance that carried its clock `stamp` in ms.
     pub fn note_message(&mut self, now: ClockTime, instance: &InstanceId, stamp: u64) {
         if let Some(peer) = self.peers.get_mut(instance) {
             peer.last_seen = Some(now);
@@ -130,79 +132,81 @@
         }
     }
 
-    /// This instance ordered a stage.
+    /// Records a stage change that this instance ordered.
     pub fn note_stage_order(&mut self, now: ClockTime, order: StageMessage) {
-        self.ordered.push((now, order));
+        self.stage_orders.push((now, order));
     }
 
-    /// The stages that this instance ordered lately.
+    /// The stage changes that this instance ordered recently, which are to be sent.
     pub fn stage_orders(&mut self, now: ClockTime) -> Vec<StageMessage> {
-        self.ordered
-            .retain(|(at, _)| now.since(*at) < ORDER_TOLD_FOR);
-        self.ordered.iter().map(|(_, order)| *order).collect()
+        self.stage_orders
+            .retain(|(at, _)| now.since(*at) < ORDER_SEND_PERIOD);
+        self.stage_orders.iter().map(|(_, order)| *order).collect()
     }
 
-    /// This instance saw a registration change.
+    /// Records a changed registration, in place of earlier changes of the same endpoint.
     pub fn note_change(&mut self, now: ClockTime, change: ChangeMessage) {
-        self.changes
-            .retain(|known| known.is_recent(now) && known.change.endpoint != change.endpoint);
-        self.changes.push(SeenChange {
-            seen_at: now,
-            told_at: None,
+        self.changes.retain(|observed| {
+            observed.is_recent(now) && observed.change.endpoint != change.endpoint
+        });
+        self.changes.push(ObservedChange {
+            observed_at: now,
+            sent_at: None,
             change,
         });
     }
 
-    /// Whether a change is due to be told.
+    /// Whether a change is due to be sent.
     pub fn has_due_changes(&self, now: ClockTime) -> bool {
-        self.changes.iter().any(|known| known.is_due(now))
+        self.changes.iter().any(|observed| observed.is_due(now))
     }
 
-    /// The changes for the next datagram, the newest first. They count as told.
+    /// Returns the changes for the next datagram, newest first, and records them as sent.
     pub fn take_due_changes(&mut self, now: ClockTime) -> Vec<ChangeMessage> {
         let newest = self.changes.iter_mut().rev();
         let due = newest
-            .filter(|known| known.is_due(now))
+            .filter(|observed| observed.is_due(now))
             .take(MAX_CHANGES_PER_DATAGRAM);
-        due.map(|known| {
-            known.told_at = Some(now);
-            known.change.clone()
+        due.map(|observed| {
+            observed.sent_at = Some(now);
+            observed.change.clone()
         })
         .collect()
     }
 
-    /// All registrations of instances were read.
+    /// Records that the registrations of all instances were read.
     pub fn note_read(&mut self, now: ClockTime) {
         self.read_at.get_or_insert(now);
     }
 
-    /// Whether all instances are known that there were at this one's start.
+    /// Whether the table contains all instances that ran when this one started.
     pub fn is_complete(&self, now: ClockTime) -> bool {
-        self.read_at.is_some_and(|at| now.since(at) >= KNOWN_AFTER)
+        self.read_at
+            .is_some_and(|at| now.since(at) >= DISCOVERY_PERIOD)
     }
 
-    /// All of them.
+    /// All registered instances, in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (&InstanceId, &KnownPeer)> {
         self.peers.iter()
     }
 
-    /// How many instances have registered, this one not counted.
+    /// The number of registered instances, without this one.
     pub fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Whether nobody has registered.
+    /// Whether no other instance is registered.
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
-    /// Whether each instance tells every other one.
+    /// Whether all instances send to each other, without representatives.
     pub fn is_full_mesh(&self) -> bool {
-        self.peers.len() < DIRECT_UP_TO
+        self.peers.len() < MIN_PEERS_FOR_REPRESENTATIVES
     }
 
-    /// Whether `own` is one of those who speak for `domain` elsewhere: the first by
-    /// name of those there that are alive.
+    /// Whether `own` represents `domain` in the other failure domains: the representatives
+    /// are the first by name of the instances there that are alive.
     pub fn is_representative(
         &self,
         now: ClockTime,
@@ -210,16 +214,16 @@
         domain: &FailureDomain,
     ) -> bool {
         let alive = self.alive_in(now, domain);
-        alive.filter(|(name, _)| *name < own).count() < SPEAKERS
+        alive.filter(|(name, _)| *name < own).count() < REPRESENTATIVES_PER_DOMAIN
     }
 
-    /// Whether somebody in `domain` was heard lately.
+    /// Whether any peer in `domain` is alive.
     pub fn has_alive_peer_in(&self, now: ClockTime, domain: &FailureDomain) -> bool {
         self.alive_in(now, domain).next().is_some()
     }
 
-    /// Whether `instance` is heard through the speakers of its failure domain only, as
-    /// seen from `domain`.
+    /// Whether an instance in `domain` receives the state of `instance` only through the
+    /// representatives of its failure domain.
     pub fn is_represented(
         &self,
         now: ClockTime,
@@ -227,20 +231,20 @@
         instance: &InstanceId,
     ) -> bool {
         let peer = self.peers.get(instance);
-        let is_far = peer.is_some_and(|peer| {
+        let is_remote = peer.is_some_and(|peer| {
             peer.domain != *domain && self.has_alive_peer_in(now, &peer.domain)
         });
-        is_far && !self.is_full_mesh()
+        is_remote && !self.is_full_mesh()
     }
 
-    /// Those that were heard lately.
+    /// The peers that are alive.
     pub fn alive(&self, now: ClockTime) -> impl Iterator<Item = (&InstanceId, &KnownPeer)> {
         self.peers
             .iter()
             .filter(move |(_, peer)| peer.is_alive(now))
     }
 
-    /// Those of `domain` that were heard lately.
+    /// The peers in `domain` that are alive.
     pub fn alive_in(
         &self,
         now: ClockTime,
@@ -250,32 +254,33 @@
             .filter(move |(_, peer)| peer.domain == *domain)
     }
 
-    /// The failure domains from which nobody is heard any more, though somebody was
-    /// heard lately: they are cut off from here, and so are their endpoints.
+    /// The failure domains from which no message has arrived for [`UNREACHABLE_AFTER`], but
+    /// one has within [`UNREACHABLE_UNTIL`]. They are partitioned from here, and so are their
+    /// endpoints.
     pub fn unreachable_domains(&self, now: ClockTime) -> BTreeSet<FailureDomain> {
-        let mut heard: BTreeMap<&FailureDomain, ClockTime> = BTreeMap::new();
+        let mut last_seen: BTreeMap<&FailureDomain, ClockTime> = BTreeMap::new();
         for peer in self.peers.values() {
             if let Some(at) = peer.last_seen {
-                let newest = heard.entry(&peer.domain).or_insert(at);
+                let newest = last_seen.entry(&peer.domain).or_insert(at);
                 *newest = at.max(*newest);
             }
         }
-        let is_silent = |at: ClockTime| {
-            let silence = now.since(at);
-            silence >= SILENT_AFTER && silence < FORGOTTEN_AFTER
+        let is_unreachable = |at: ClockTime| {
+            let elapsed = now.since(at);
+            elapsed >= UNREACHABLE_AFTER && elapsed < UNREACHABLE_UNTIL
         };
-        let silent = heard.into_iter().filter(|(_, at)| is_silent(*at));
-        silent.map(|(domain, _)| domain.clone()).collect()
+        let unreachable = last_seen.into_iter().filter(|(_, at)| is_unreachable(*at));
+        unreachable.map(|(domain, _)| domain.clone()).collect()
     }
 
-    /// Who reads the store for `domain`, as seen by `own` there.
+    /// The instance that reads the store for `domain`, as seen by `own` there.
     pub fn reader(&self, now: ClockTime, own: &InstanceId, domain: &FailureDomain) -> InstanceId {
         let alive = self.alive_in(now, domain);
         let names = alive.map(|(name, _)| name).chain([own]);
         names.min().unwrap_or(own).clone()
     }
 
-    /// Whether `own` reads the store for its failure domain.
+    /// Whether `own` reads the store for its failure domain `domain`.
     pub fn is_reader(&self, now: ClockTime, own: &InstanceId, domain: &FailureDomain) -> bool {
         let alive = self.alive_in(now, domain);
         relay::is_reader(own, alive.map(|(instance, _)| instance))
@@ -294,8 +299,8 @@
         relay::is_reader(instance, others.filter(|name| *name != instance))
     }
 
-    /// The stamp of ours that a peer names in its word; a peer that has not heard
-    /// us yet names none.
+    /// The stamp of this instance that a peer echoed; `None` for 0, which a peer sends before
+    /// it has received a message from here.
     pub fn echoed_stamp(echo: u64) -> Option<EchoedStamp> {
         (echo > 0).then_some(EchoedStamp {
             sent: ClockTime::from_millis(echo),
--- a/crates/ingress/src/peers/targets.rs
+++ b/crates/ingress/src/peers/targets.rs
@@ -1,4 +1,4 @@
-//! Which instances a word goes to.
+//! Selecting the instances that a message is sent to.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -9,90 +9,91 @@
 
 use crate::peers::table::{KnownPeer, PeerTable};
 
-/// How often a silent instance is told something all the same: it may be back.
-const SILENT_BEAT: TimeSpan = TimeSpan::from_millis(2_000);
+/// How often an unresponsive instance is sent a message nevertheless: it may be back.
+const PROBE_INTERVAL: TimeSpan = TimeSpan::from_millis(2_000);
 
-/// Somebody who is told.
+/// An instance that a message is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BroadcastTarget {
-    /// Where it listens for datagrams.
+    /// The socket address at which it receives datagrams.
     pub address: SocketAddr,
-    /// The last stamp that it sent.
+    /// The last stamp received from it, to be echoed; 0 for none.
     pub stamp: u64,
-    /// Whether it is in the same failure domain.
+    /// Whether it is in the failure domain of the sender.
     pub is_same_domain: bool,
-    /// Whether it reads the store for this instance.
+    /// Whether it is the reader of the sender's failure domain.
     pub is_reader: bool,
 }
 
-/// Chooses who is told. Instances that know of each other and have not been heard yet
-/// are silent too, so a beat that is missed keeps them apart.
+/// Selects the targets of messages. Registered instances from which no message has arrived
+/// yet count as unresponsive too: two such instances exchange nothing until a probe.
 #[derive(Debug)]
 pub struct TargetSelector {
     instance: InstanceId,
     domain: FailureDomain,
-    silent_beat: SilentBeat,
-    far_beat: SilentBeat,
+    probes: ProbeSchedule,
+    cross_domain_probes: ProbeSchedule,
 }
 
-/// When the silent ones were last told.
+/// When unresponsive instances were last probed.
 #[derive(Debug, Default)]
-struct SilentBeat {
-    told_at: ClockTime,
+struct ProbeSchedule {
+    probed_at: ClockTime,
 }
 
-impl SilentBeat {
+impl ProbeSchedule {
     fn is_due(&self, now: ClockTime) -> bool {
-        now.since(self.told_at) >= SILENT_BEAT
+        now.since(self.probed_at) >= PROBE_INTERVAL
     }
 
-    /// Keeps those that were heard and, at the beat, the silent ones. A beat that
-    /// reaches nobody isn't one: an instance that has just started speaks before it
-    /// has read who else there is.
-    fn choose<'a, Heard>(
+    /// Selects the peers that are alive and, if a probe is due, the unresponsive ones. A
+    /// probe without any target does not count: an instance that has just started sends
+    /// messages before it has read the registrations of the others.
+    fn select<'a, Reachable>(
         &mut self,
         now: ClockTime,
         peers: Vec<(&'a InstanceId, &'a KnownPeer)>,
-        is_heard: Heard,
+        is_reachable: Reachable,
     ) -> Vec<(&'a InstanceId, &'a KnownPeer)>
     where
-        Heard: Fn(&KnownPeer) -> bool,
+        Reachable: Fn(&KnownPeer) -> bool,
     {
-        let with_silent = self.is_due(now);
-        if with_silent && peers.iter().any(|(_, peer)| !is_heard(peer)) {
-            self.told_at = now;
+        let is_probe = self.is_due(now);
+        if is_probe && peers.iter().any(|(_, peer)| !is_reachable(peer)) {
+            self.probed_at = now;
         }
-        let told = peers.into_iter();
-        told.filter(|(_, peer)| with_silent || is_heard(peer))
+        let selected = peers.into_iter();
+        selected
+            .filter(|(_, peer)| is_probe || is_reachable(peer))
             .collect()
     }
 }
 
 impl TargetSelector {
-    /// The choice of `instance` in `domain`.
+    /// A selector for messages that `instance` in `domain` sends.
     pub fn new(instance: InstanceId, domain: FailureDomain) -> TargetSelector {
         TargetSelector {
             instance,
             domain,
-            silent_beat: SilentBeat::default(),
-            far_beat: SilentBeat::default(),
+            probes: ProbeSchedule::default(),
+            cross_domain_probes: ProbeSchedule::default(),
         }
     }
 
-    /// Who is told everything: those that were heard lately, and at each beat the
-    /// silent ones as well. With many instances only those of the own failure domain.
+    /// The targets of a full message: the peers that are alive, and the unresponsive ones
+    /// if a probe is due. With many instances, only peers of the same failure domain.
     pub fn broadcast_targets(&mut self, now: ClockTime, peers: &PeerTable) -> Vec<BroadcastTarget> {
         let is_full_mesh = peers.is_full_mesh();
         let known = peers.iter();
         let known = known.filter(|(_, peer)| is_full_mesh || peer.domain == self.domain);
-        let beat = &mut self.silent_beat;
-        let told = beat.choose(now, known.collect(), |peer| peer.is_alive(now));
-        self.receivers(now, peers, told)
+        let probes = &mut self.probes;
+        let selected = probes.select(now, known.collect(), |peer| peer.is_alive(now));
+        self.targets(now, peers, selected)
     }
 
-    /// Who is told what the own failure domain has, where not every instance tells
-    /// every other one: all of the other failure domains from which somebody is heard,
-    /// and at each beat those of silent ones.
+    /// The targets in other failure domains of the state of this one, if not all instances
+    /// send to each other: all peers of failure domains with a peer that is alive, and those
+    /// of unreachable failure domains if a probe is due.
     pub fn cross_domain_targets(
         &mut self,
         now: ClockTime,
@@ -101,33 +102,36 @@
         if peers.is_full_mesh() {
             return Vec::new();
         }
-        let heard: BTreeSet<&FailureDomain> =
+        let reachable: BTreeSet<&FailureDomain> =
             peers.alive(now).map(|(_, peer)| &peer.domain).collect();
         let known = peers.iter().filter(|(_, peer)| peer.domain != self.domain);
-        let is_heard = |peer: &KnownPeer| heard.contains(&peer.domain);
-        let told = self.far_beat.choose(now, known.collect(), is_heard);
-        self.receivers(now, peers, told)
+        let is_reachable = |peer: &KnownPeer| reachable.contains(&peer.domain);
+        let selected = self
+            .cross_domain_probes
+            .select(now, known.collect(), is_reachable);
+        self.targets(now, peers, selected)
     }
 
-    /// Those of the own failure domain that were heard lately. Silent ones are left to
-    /// the beat of [`Self::everyone`].
+    /// The peers of the same failure domain that are alive. Unresponsive ones are probed by
+    /// [`Self::broadcast_targets`] only.
     pub fn same_domain_targets(&self, now: ClockTime, peers: &PeerTable) -> Vec<BroadcastTarget> {
-        let near = peers.alive_in(now, &self.domain);
-        self.receivers(now, peers, near.collect())
+        let same_domain = peers.alive_in(now, &self.domain);
+        self.targets(now, peers, same_domain.collect())
     }
 
-    fn receivers(
+    fn targets(
         &self,
         now: ClockTime,
         peers: &PeerTable,
-        told: Vec<(&InstanceId, &KnownPeer)>,
+        selected: Vec<(&InstanceId, &KnownPeer)>,
     ) -> Vec<BroadcastTarget> {
-        let told = told.into_iter();
-        told.map(|(instance, peer)| self.receiver(now, peers, instance, peer))
+        let selected = selected.into_iter();
+        selected
+            .map(|(instance, peer)| self.target(now, peers, instance, peer))
             .collect()
     }
 
-    fn receiver(
+    fn target(
         &self,
         now: ClockTime,
         peers: &PeerTable,
