--- /dev/null
+++ b/crates/ingress/src/peers/broadcast.rs
@@ -0,0 +1,362 @@
+//! Sending this entry's state to the other instances, and receiving theirs.
+
+use std::{collections::BTreeSet, io, net::SocketAddr, sync::Arc, time::Duration};
+
+use bluebell_core::{
+    clock::{ClockTime, TimeSpan},
+    ids::{FailureDomain, InstanceId, ServiceName},
+    provision::EngineDemand,
+};
+use bluebell_daemon::logs::LogLine;
+use bytes::BytesMut;
+use futures::{SinkExt, StreamExt};
+use prost::Message;
+use tokio::net::UdpSocket;
+use tokio_util::{codec::BytesCodec, udp::UdpFramed};
+
+use crate::{
+    context::EntryContext,
+    leader::{self, UsageRecord},
+    peers::{
+        messages::{DemandMessage, PeerMessage, PerTargetMessage, RelayMessage, StageMessage},
+        registry::local_address,
+        relay,
+        table::KnownPeer,
+        targets::{BroadcastTarget, TargetSelector},
+    },
+};
+
+/// The broadcast interval without other instances; it grows with their number. A prefill
+/// takes 15 to 200 ms, and load reports that are older than that lead to wrong decisions.
+const MIN_INTERVAL: Duration = Duration::from_millis(60);
+
+/// By how much the broadcast interval grows with each other instance. An entry receives
+/// some 260 messages a second with 70 instances, and 440 at most with more; these take 1
+/// in 100 of a core.
+const INTERVAL_PER_PEER: Duration = Duration::from_millis(3);
+
+/// The longest broadcast interval: messages are valid for some seconds only.
+const MAX_INTERVAL: Duration = Duration::from_millis(800);
+
+/// The number of entries up to which all engines are considered for each request. The
+/// number of placements that are not yet known here grows with the number of entries and
+/// with their broadcast interval, which grows with that number too. So the share of engines
+/// that is considered falls with the square of the number of entries.
+const MAX_ENTRIES_FOR_ALL_ENGINES: f64 = 10.0;
+
+/// How often an entry without updates sends a heartbeat.
+const HEARTBEAT_INTERVAL: TimeSpan = TimeSpan::from_millis(1_000);
+
+/// How often the reader of a failure domain relays the state of the store to the others
+/// there, and they send it their usage counts and a stamp for it to echo.
+const SAME_DOMAIN_INTERVAL: Duration = Duration::from_millis(250);
+
+/// How often usage counts are sent to the reader of the failure domain.
+const USAGE_REPORT_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
+
+/// The socket and schedule with which one entry exchanges messages with the others.
+pub struct PeerBroadcaster {
+    context: Arc<EntryContext>,
+    frames: UdpFramed<BytesCodec>,
+    broadcast_sent_at: ClockTime,
+    selector: TargetSelector,
+    usage_sent_at: ClockTime,
+    /// Whether the last broadcast reported any load.
+    has_sent_load: bool,
+    /// The failure domains that were unreachable at the last broadcast.
+    unreachable_domains: BTreeSet<FailureDomain>,
+}
+
+impl PeerBroadcaster {
+    /// Binds the socket for datagrams.
+    pub async fn bind(context: Arc<EntryContext>) -> io::Result<PeerBroadcaster> {
+        let socket = UdpSocket::bind(local_address(&context)).await?;
+        let instance = context.writer.instance.clone();
+        let selector = TargetSelector::new(instance, context.settings.domain.clone());
+        Ok(PeerBroadcaster {
+            context,
+            frames: UdpFramed::new(socket, BytesCodec::new()),
+            broadcast_sent_at: ClockTime::default(),
+            selector,
+            usage_sent_at: ClockTime::default(),
+            has_sent_load: false,
+            unreachable_domains: BTreeSet::new(),
+        })
+    }
+
+    /// Sends and receives; returns only if the socket is closed.
+    pub async fn run(mut self) {
+        let mut broadcast_at = tokio::time::Instant::now();
+        let mut same_domain_at = broadcast_at;
+        loop {
+            tokio::select! {
+                () = tokio::time::sleep_until(same_domain_at) => {
+                    let is_due = self.interval() > SAME_DOMAIN_INTERVAL;
+                    if is_due {
+                        self.send_within_domain().await;
+                    }
+                    same_domain_at = tokio::time::Instant::now() + SAME_DOMAIN_INTERVAL;
+                }
+                () = self.context.wake.notified() => {
+                    // A change that the others of the failure domain wait for.
+                    if self.context.is_reader() {
+                        self.send_within_domain().await;
+                    }
+                }
+                () = tokio::time::sleep_until(broadcast_at) => {
+                    self.broadcast().await;
+                    broadcast_at = tokio::time::Instant::now() + self.interval();
+                }
+                received = self.frames.next() => match received {
+                    Some(Ok((bytes, from))) => self.receive(&bytes, from),
+                    // An error of one datagram, such as one that its recipient rejected,
+                    // does not concern later ones.
+                    Some(Err(error)) => log::debug!("event=datagram_failed error={error:?}"),
+                    None => return,
+                },
+            }
+        }
+    }
+
+    fn interval(&self) -> Duration {
+        let others = self.context.peers.lock().len() as u32;
+        (MIN_INTERVAL + INTERVAL_PER_PEER * others).min(MAX_INTERVAL)
+    }
+
+    async fn broadcast(&mut self) {
+        let now = self.context.now();
+        self.update_unreachable_domains(now);
+        self.context.share_budget();
+        let entries = self.context.peers.lock().len() + 1;
+        let share = (MAX_ENTRIES_FOR_ALL_ENGINES / entries as f64).powi(2);
+        self.context.engines.lock().set_considered(share);
+        let (loads, parts, refusing) = {
+            let mut engines = self.context.engines.lock();
+            let refusing = engines.refusing(now);
+            (engines.own_loads(), engines.take_untold(), refusing)
+        };
+        let stages = self.context.peers.lock().stage_orders(now);
+        let relay = relay::message(&self.context, now);
+        let is_cross_domain = self.is_domain_representative(now) || !stages.is_empty();
+        let has_load = !loads.is_empty() || !refusing.is_empty() || relay.is_some();
+        let has_update = has_load || !parts.is_empty() || is_cross_domain || self.has_sent_load;
+        if !has_update && now.since(self.broadcast_sent_at) < HEARTBEAT_INTERVAL {
+            return;
+        }
+        self.broadcast_sent_at = now;
+        self.has_sent_load = !loads.is_empty();
+        let message = PeerMessage::new(&loads, &parts)
+            .with_stages(stages.clone())
+            .with_demands(&self.context.demands.lock().own(now))
+            .with_refusing(refusing.clone());
+        let targets = self
+            .selector
+            .broadcast_targets(now, &self.context.peers.lock());
+        self.send(now, message, relay, &targets).await;
+        self.send_remaining_changes(now, targets).await;
+        if is_cross_domain {
+            self.send_to_other_domains(now, stages, refusing).await;
+        }
+    }
+
+    /// Whether this instance sends the state of its failure domain to other ones.
+    fn is_domain_representative(&self, now: ClockTime) -> bool {
+        let peers = self.context.peers.lock();
+        let (own, domain) = (&self.context.writer.instance, &self.context.settings.domain);
+        !peers.is_full_mesh() && peers.is_representative(now, own, domain)
+    }
+
+    /// Sends the state of this failure domain to other ones, if not all instances send to
+    /// each other. Loads are left out: they change before the message arrives.
+    async fn send_to_other_domains(
+        &mut self,
+        now: ClockTime,
+        stages: Vec<StageMessage>,
+        refusing: Vec<u64>,
+    ) {
+        let targets = self
+            .selector
+            .cross_domain_targets(now, &self.context.peers.lock());
+        if targets.is_empty() {
+            return;
+        }
+        let message = PeerMessage::without_loads()
+            .with_stages(stages)
+            .with_refusing(refusing)
+            .with_domain_demands(&self.context.demands.lock().heard(now));
+        self.send(now, message, None, &targets).await;
+    }
+
+    /// Sends the changes that did not fit into the last datagram. Without them, all
+    /// instances of the failure domain would read all registrations from the store at once.
+    async fn send_remaining_changes(&mut self, now: ClockTime, mut targets: Vec<BroadcastTarget>) {
+        targets.retain(|target| target.is_same_domain);
+        while self.context.peers.lock().has_due_changes(now)
+            && let Some(relay) = relay::message(&self.context, now)
+        {
+            let message = PeerMessage::without_loads();
+            self.send(now, message, Some(relay), &targets).await;
+        }
+    }
+
+    /// Updates the failure domains whose endpoints are avoided as unreachable, and logs
+    /// changes.
+    ///
+    /// A request that is sent to an unreachable domain waits for its timeout. Missing
+    /// messages from all instances there show the partition before the first request has
+    /// timed out.
+    fn update_unreachable_domains(&mut self, now: ClockTime) {
+        let unreachable = self.context.peers.lock().unreachable_domains(now);
+        if unreachable == self.unreachable_domains {
+            return;
+        }
+        for domain in unreachable.difference(&self.unreachable_domains) {
+            LogLine::new("domain_lost")
+                .with("failure_domain", domain)
+                .warn();
+        }
+        for domain in self.unreachable_domains.difference(&unreachable) {
+            LogLine::new("domain_regained")
+                .with("failure_domain", domain)
+                .info();
+        }
+        self.context
+            .engines
+            .lock()
+            .set_silent_domains(unreachable.clone());
+        self.context
+            .replicas
+            .lock()
+            .set_silent_domains(unreachable.clone());
+        self.unreachable_domains = unreachable;
+    }
+
+    /// Sends within the failure domain only: from the reader the state of the store to all
+    /// others, from the others a heartbeat to the reader.
+    async fn send_within_domain(&mut self) {
+        let now = self.context.now();
+        let relay = relay::message(&self.context, now);
+        let mut targets = self
+            .selector
+            .same_domain_targets(now, &self.context.peers.lock());
+        let is_reader = relay.is_some();
+        targets.retain(|target| is_reader || target.is_reader);
+        let message = PeerMessage::without_loads();
+        self.send(now, message, relay, &targets).await;
+        self.send_remaining_changes(now, targets).await;
+    }
+
+    async fn send(
+        &mut self,
+        now: ClockTime,
+        message: PeerMessage,
+        relay: Option<RelayMessage>,
+        targets: &[BroadcastTarget],
+    ) {
+        let writer = &self.context.writer;
+        let domain = &self.context.settings.domain;
+        let message = message.with_sender(writer, domain, now.as_millis());
+        let shared = message.encode_to_vec();
+        let usage = self.usage_due(now);
+        for target in targets {
+            let per_target = PerTargetMessage {
+                echo: target.stamp,
+                relay: relay.clone().filter(|_| target.is_same_domain),
+                usage: usage.clone().filter(|_| target.is_reader),
+            };
+            let mut bytes = BytesMut::from(&shared[..]);
+            bytes.extend_from_slice(&per_target.encode_to_vec());
+            let address = target.address;
+            if let Err(error) = self.frames.send((bytes.freeze(), address)).await {
+                log::debug!("event=datagram_failed address={address} error={error:?}");
+            }
+        }
+    }
+
+    /// The usage counts of this entry if they are due to be sent to the reader.
+    fn usage_due(&mut self, now: ClockTime) -> Option<UsageRecord> {
+        if now.since(self.usage_sent_at) < USAGE_REPORT_INTERVAL {
+            return None;
+        }
+        self.usage_sent_at = now;
+        leader::recent_usage(&self.context)
+    }
+
+    fn receive(&mut self, bytes: &BytesMut, from: SocketAddr) {
+        let message = match PeerMessage::decode(&bytes[..]) {
+            Ok(message) => message,
+            Err(error) => {
+                LogLine::new("datagram_rejected")
+                    .with("error", error)
+                    .warn();
+                return;
+            }
+        };
+        let peer = InstanceId::new(message.instance.as_str());
+        let domain = FailureDomain::new(message.domain.as_str());
+        let (Ok(peer), Ok(domain)) = (peer, domain) else {
+            LogLine::new("datagram_rejected")
+                .with("error", "invalid instance or failure domain name")
+                .warn();
+            return;
+        };
+        let now = self.context.now();
+        {
+            let mut peers = self.context.peers.lock();
+            let known = KnownPeer {
+                address: from,
+                start: message.start,
+                domain: domain.clone(),
+                last_seen: None,
+                stamp: 0,
+            };
+            peers.register(&peer, known);
+            peers.note_message(now, &peer, message.stamp);
+        }
+        relay::apply(&self.context, &peer, &message);
+        if let Some(usage) = &message.usage {
+            leader::note_peer_usage(&self.context, usage);
+        }
+        self.note_demands(now, &peer, &domain, &message);
+        let (loads, parts) = (message.peer_loads(), message.peer_parts());
+        let mut engines = self.context.engines.lock();
+        if message.includes_loads {
+            engines.note_peer(now, &peer, &loads, &parts);
+        }
+        for engine in &message.refusing {
+            engines.refused_another(now, *engine);
+        }
+        for order in &message.stages {
+            engines.stage_ordered(now, order.engine, order.stage());
+        }
+    }
+
+    fn note_demands(
+        &self,
+        now: ClockTime,
+        peer: &InstanceId,
+        domain: &FailureDomain,
+        message: &PeerMessage,
+    ) {
+        let mut demands = self.context.demands.lock();
+        for (service, demand) in decode_demands(&message.demands) {
+            demands.note_peer(now, peer, service, demand);
+        }
+        for (service, demand) in decode_demands(&message.domain_demands) {
+            demands.note_domain(now, domain, service, demand);
+        }
+    }
+}
+
+/// Decodes the demands of a datagram; those with an invalid service name are dropped.
+fn decode_demands(
+    messages: &[DemandMessage],
+) -> impl Iterator<Item = (ServiceName, EngineDemand)> + '_ {
+    messages.iter().filter_map(|message| {
+        let service = ServiceName::new(message.service.as_str());
+        let service = service.inspect_err(|error| {
+            log::debug!("event=demand_rejected error={error:?}");
+        });
+        Some((service.ok()?, message.demand()))
+    })
+}
--- a/crates/ingress/src/peers/registry.rs
+++ b/crates/ingress/src/peers/registry.rs
@@ -1,4 +1,4 @@
-//! Registering in the store, and reading who else has.
+//! Registering this instance in the store, and reading the registrations of the others.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -14,32 +14,32 @@
 use prost::Message;
 
 use crate::{
-    believe::{READ_TIMEOUT, StorePath},
     context::EntryContext,
     peers::{messages::PeerRecord, table::KnownPeer},
+    sync::{READ_TIMEOUT, StoreBackoff},
 };
 
 const PART: TopicPart = TopicPart::first("keyed.peers");
 
-/// Registers this instance and reads who else has. Whoever starts later reads this
-/// registration and makes itself heard.
+/// Registers this instance and reads the registrations of the others. Instances that start
+/// later read this registration and send messages to this instance.
 pub async fn register_and_read(context: Arc<EntryContext>) {
-    let mut path = StorePath::new("peers");
+    let mut backoff = StoreBackoff::new("peers");
     while let Err(error) = register(&context).await {
-        path.failed(&context, &error).await;
+        backoff.wait_after_failure(&context, &error).await;
     }
-    path.answered(&context);
-    while let Err(error) = read_newest(&context, path.patience()).await {
-        path.failed(&context, &error).await;
+    backoff.note_answer(&context);
+    while let Err(error) = read_newest(&context, backoff.read_timeout()).await {
+        backoff.wait_after_failure(&context, &error).await;
     }
-    path.answered(&context);
+    backoff.note_answer(&context);
     let now = context.now();
     context.peers.lock().note_read(now);
 }
 
 async fn register(context: &EntryContext) -> Result<(), CallError> {
     let record = PeerRecord {
-        address: own_address(context).to_string(),
+        address: local_address(context).to_string(),
         start: context.writer.start,
         domain: context.settings.domain.to_string(),
     };
@@ -49,21 +49,21 @@
     appended.await.map(drop)
 }
 
-/// Where this instance listens for datagrams.
-pub fn own_address(context: &EntryContext) -> SocketAddr {
+/// The socket address at which this instance receives datagrams.
+pub fn local_address(context: &EntryContext) -> SocketAddr {
     let settings = &context.settings;
     SocketAddr::new(settings.callers_address.ip(), settings.peer_port)
 }
 
-async fn read_newest(context: &EntryContext, patience: TimeSpan) -> Result<(), CallError> {
+async fn read_newest(context: &EntryContext, timeout: TimeSpan) -> Result<(), CallError> {
     let mut after: Option<String> = None;
     loop {
         let page = context
             .store
-            .newest(PART, after.as_deref(), patience)
+            .newest(PART, after.as_deref(), timeout)
             .await?;
         for item in &page.items {
-            take(context, &item.key, &item.value);
+            add_peer(context, &item.key, &item.value);
         }
         after = page.items.last().map(|item| item.key.clone());
         if !page.has_more || after.is_none() {
@@ -72,7 +72,7 @@
     }
 }
 
-fn take(context: &EntryContext, key: &str, value: &[u8]) {
+fn add_peer(context: &EntryContext, key: &str, value: &[u8]) {
     let instance = InstanceId::new(key);
     let record = PeerRecord::decode(value);
     let (Ok(instance), Ok(record)) = (instance, record) else {
@@ -89,7 +89,7 @@
             address,
             start: record.start,
             domain,
-            heard_at: None,
+            last_seen: None,
             stamp: 0,
         };
         context.peers.lock().register(&instance, peer);
