--- a/crates/core/src/admission/baselines.rs
+++ b/crates/core/src/admission/baselines.rs
@@ -10,17 +10,17 @@
 
 /// One queue per pool in the order of arrival, without shares and deadlines.
 #[derive(Clone, Debug, Default)]
-pub struct ArrivalQueue {
+pub struct FifoQueue {
     slots: BTreeMap<RoutePool, u32>,
     running: BTreeMap<RoutePool, u32>,
     queued: BTreeMap<RoutePool, VecDeque<RequestId>>,
     known: BTreeMap<RequestId, RoutePool>,
 }
 
-impl ArrivalQueue {
+impl FifoQueue {
     /// An empty queue.
-    pub fn new() -> ArrivalQueue {
-        ArrivalQueue::default()
+    pub fn new() -> FifoQueue {
+        FifoQueue::default()
     }
 
     /// Sets how many requests run at once.
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -223,7 +223,7 @@
     }
 
     /// How many organisations' counters are remembered, over all pools.
-    pub fn remembered_organisations(&self) -> usize {
+    pub fn tracked_organisations(&self) -> usize {
         self.pools.values().map(|pool| pool.counters.len()).sum()
     }
 
--- a/crates/core/src/placement/engine.rs
+++ b/crates/core/src/placement/engine.rs
@@ -25,8 +25,8 @@
     ids::{EndpointId, FailureDomain, InstanceId, ServiceName},
     ingress::EngineRule,
     placement::{
-        PartPlaces, PromptWork,
-        queue::{EngineLoad, EngineQueue, RANKS},
+        PartLocations, PromptWork,
+        queue::{EngineLoad, EngineQueue, PRIORITY_RANKS},
     },
     routing::{EndpointHealth, RoutingSettings},
 };
@@ -95,11 +95,11 @@
     /// The engine that prefills.
     pub engine: EndpointTarget,
     /// Whether the engine runs the request as well.
-    pub runs_there: bool,
+    pub runs_request: bool,
     /// The time that the prefill itself takes, in ms.
     pub work_ms: f64,
     /// Tokens of the prompt that the engine holds already.
-    pub held: u64,
+    pub held_tokens: u64,
     /// Tokens to be prefilled.
     pub tokens: u64,
     /// When the first token is expected, from now.
@@ -124,23 +124,23 @@
     /// Its urgency, 0 being the first.
     pub priority: u8,
     /// Engines that it must not go to again.
-    pub tried: &'a [EndpointId],
+    pub excluded: &'a [EndpointId],
     /// For how much longer its caller waits.
     pub time_left: TimeSpan,
 }
 
 impl PlanRequest<'_> {
     fn rank(&self) -> usize {
-        usize::from(self.priority).min(RANKS - 1)
+        usize::from(self.priority).min(PRIORITY_RANKS - 1)
     }
 }
 
 /// Why there is no engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NoEngine {
+pub enum PlacementError {
     /// None is registered, or all were tried.
     #[error("no engine is left")]
-    NoneLeft,
+    NoEngineLeft,
     /// On none of them would the first token come in time.
     #[error("the first token would come {late} too late on each engine")]
     TooLate {
@@ -151,7 +151,7 @@
 
 /// What entries tell each other of one engine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ToldLoad {
+pub struct PeerLoad {
     /// The engine, by the hash of its id.
     pub engine: u64,
     /// What the teller has there.
@@ -160,7 +160,7 @@
 
 /// A part of a prompt that was sent to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldPart {
+pub struct PeerPart {
     /// The engine, by the hash of its id.
     pub engine: u64,
     /// The part's id.
@@ -168,7 +168,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct EngineBook {
+struct EngineState {
     number: u32,
     hash: u64,
     target: EndpointTarget,
@@ -189,7 +189,7 @@
     health: EndpointHealth,
 }
 
-impl EngineBook {
+impl EngineState {
     fn prefill_slowdown(&self) -> f64 {
         match self.stage {
             Some(EngineStage::Decode) => DECODE_STAGE_SLOWDOWN,
@@ -220,17 +220,17 @@
 
 /// What this entry knows of all engines.
 #[derive(Clone, Debug)]
-pub struct EngineBooks {
+pub struct EngineTable {
     settings: RoutingSettings,
     random: ChaCha8Rng,
-    books: BTreeMap<EndpointId, EngineBook>,
+    books: BTreeMap<EndpointId, EngineState>,
     by_hash: BTreeMap<u64, EndpointId>,
-    places: PartPlaces,
+    places: PartLocations,
     rates: BTreeMap<ServiceName, f64>,
     next_number: u32,
     next_ticket: u64,
     /// What has not been told to the other entries.
-    untold: Vec<ToldPart>,
+    untold: Vec<PeerPart>,
     silent_domains: BTreeSet<FailureDomain>,
     /// The share of the engines that is considered for a request.
     considered: f64,
@@ -240,15 +240,15 @@
 /// wrong guess.
 const UNTOLD_LIMIT: usize = 256;
 
-impl EngineBooks {
+impl EngineTable {
     /// No engine.
-    pub fn new(settings: RoutingSettings) -> EngineBooks {
-        EngineBooks {
+    pub fn new(settings: RoutingSettings) -> EngineTable {
+        EngineTable {
             settings,
             random: ChaCha8Rng::seed_from_u64(0),
             books: BTreeMap::new(),
             by_hash: BTreeMap::new(),
-            places: PartPlaces::new(),
+            places: PartLocations::new(),
             rates: BTreeMap::new(),
             next_number: 0,
             next_ticket: 0,
@@ -259,7 +259,7 @@
     }
 
     /// Draws ties from `seed`.
-    pub fn with_seed(mut self, seed: u64) -> EngineBooks {
+    pub fn with_seed(mut self, seed: u64) -> EngineTable {
         self.random = ChaCha8Rng::seed_from_u64(seed);
         self
     }
@@ -282,7 +282,7 @@
         // comes within a second; what ran there until then would stand in its way.
         let awaits_order =
             registration.is_preemptible && registration.stage == Some(EngineStage::Decode);
-        let book = EngineBook {
+        let book = EngineState {
             number: self.next_number,
             hash,
             target: EndpointTarget {
@@ -321,14 +321,18 @@
     }
 
     /// Chooses the engine that prefills a request's prompt.
-    pub fn plan(&mut self, now: ClockTime, ask: PlanRequest<'_>) -> Result<PrefillPlan, NoEngine> {
+    pub fn plan(
+        &mut self,
+        now: ClockTime,
+        ask: PlanRequest<'_>,
+    ) -> Result<PrefillPlan, PlacementError> {
         for sound_only in [true, false] {
             if let Some(plan) = self.best_plan(now, ask, sound_only) {
                 self.check_time(now, ask, sound_only, &plan)?;
                 return Ok(plan);
             }
         }
-        Err(NoEngine::NoneLeft)
+        Err(PlacementError::NoEngineLeft)
     }
 
     /// Refuses what no engine can begin before its caller has left.
@@ -343,7 +347,7 @@
         ask: PlanRequest<'_>,
         sound_only: bool,
         plan: &PrefillPlan,
-    ) -> Result<(), NoEngine> {
+    ) -> Result<(), PlacementError> {
         if plan.first_token <= ask.time_left {
             return Ok(());
         }
@@ -354,7 +358,7 @@
         let soonest_ms = soonest.min_by(f64::total_cmp).unwrap_or_default();
         let soonest = TimeSpan::from_millis(soonest_ms as u64);
         match soonest > ask.time_left {
-            true => Err(NoEngine::TooLate {
+            true => Err(PlacementError::TooLate {
                 late: soonest.less(ask.time_left),
             }),
             false => Ok(()),
@@ -367,7 +371,7 @@
         ask: PlanRequest<'_>,
         sound_only: bool,
     ) -> Option<PrefillPlan> {
-        let books: Vec<&EngineBook> = self.usable(now, ask, sound_only).collect();
+        let books: Vec<&EngineState> = self.usable(now, ask, sound_only).collect();
         let handover_ms = books
             .iter()
             .filter(|book| book.runs_requests())
@@ -406,16 +410,16 @@
         now: ClockTime,
         ask: PlanRequest<'a>,
         sound_only: bool,
-    ) -> impl Iterator<Item = &'a EngineBook> {
+    ) -> impl Iterator<Item = &'a EngineState> {
         self.books.values().filter(move |book| {
             book.service == *ask.service
                 && book.takes_work(now)
-                && !ask.tried.contains(&book.target.id)
+                && !ask.excluded.contains(&book.target.id)
                 && (!sound_only || self.is_sound(now, book))
         })
     }
 
-    fn is_sound(&self, now: ClockTime, book: &EngineBook) -> bool {
+    fn is_sound(&self, now: ClockTime, book: &EngineState) -> bool {
         book.is_sound(now) && !self.silent_domains.contains(&book.domain)
     }
 
@@ -427,20 +431,20 @@
     /// few, and streams there would stall while others idle. Of a part drawn at
     /// random each takes another one; two candidates are nearly as good as all of
     /// them would be if everything were known.
-    pub fn set_considered(&mut self, share: f64) {
+    pub fn set_candidate_share(&mut self, share: f64) {
         self.considered = share.clamp(LEAST_CONSIDERED, 1.0);
     }
 
     /// Failure domains that seem to be cut off from here; their engines are taken
     /// only if there are no others.
-    pub fn set_silent_domains(&mut self, domains: BTreeSet<FailureDomain>) {
+    pub fn set_unreachable_domains(&mut self, domains: BTreeSet<FailureDomain>) {
         self.silent_domains = domains;
     }
 
     fn prefill_at(
         &self,
         now: ClockTime,
-        book: &EngineBook,
+        book: &EngineState,
         ask: &PlanRequest<'_>,
         is_preferred: bool,
     ) -> PrefillPlan {
@@ -457,9 +461,9 @@
         let rate = self.prefill_rate(ask.service) / book.prefill_slowdown();
         PrefillPlan {
             engine: book.target.clone(),
-            runs_there: book.runs_requests(),
+            runs_request: book.runs_requests(),
             work_ms: tokens as f64 / rate,
-            held: believed,
+            held_tokens: believed,
             tokens,
             first_token: TimeSpan::ZERO,
             rank: ask.rank(),
@@ -473,7 +477,7 @@
         now: ClockTime,
         ask: PlanRequest<'_>,
         source: &EndpointId,
-    ) -> Result<EndpointTarget, NoEngine> {
+    ) -> Result<EndpointTarget, PlacementError> {
         let domain = self.books.get(source).map(|book| book.domain.clone());
         for sound_only in [true, false] {
             let runners = self.usable(now, ask, sound_only);
@@ -489,7 +493,7 @@
                 return Ok(target);
             }
         }
-        Err(NoEngine::NoneLeft)
+        Err(PlacementError::NoEngineLeft)
     }
 
     /// Keeps `count` of the candidates, drawn at random.
@@ -523,7 +527,7 @@
         if let Some(book) = self.books.get_mut(&plan.engine.id) {
             book.queue.push(now, ticket, plan.rank, plan.work_ms);
             self.places.note(now, book.number, &work.parts);
-            let told = work.shared().iter().map(|part| ToldPart {
+            let told = work.shared().iter().map(|part| PeerPart {
                 engine: book.hash,
                 part: part.id,
             });
@@ -629,7 +633,7 @@
     }
 
     /// Another entry was refused by the engine.
-    pub fn refused_another(&mut self, now: ClockTime, engine: u64) {
+    pub fn note_peer_refusal(&mut self, now: ClockTime, engine: u64) {
         let id = self.by_hash.get(&engine);
         if let Some(book) = id.and_then(|id| self.books.get_mut(id)) {
             book.refuses_until = book.refuses_until.max(now + TOLD_REFUSAL_PAUSE);
@@ -638,7 +642,7 @@
 
     /// The engine says that requests like the last one are not for its stage: it
     /// has changed it, and its registration does not say so yet.
-    pub fn wrong_stage(&mut self, id: &EndpointId) {
+    pub fn note_wrong_stage(&mut self, id: &EndpointId) {
         if let Some(book) = self.books.get_mut(id) {
             book.stage = match book.stage {
                 Some(EngineStage::Decode) => Some(EngineStage::Prefill),
@@ -650,8 +654,8 @@
     }
 
     /// What this entry has at each engine where it has anything.
-    pub fn own_loads(&self) -> Vec<ToldLoad> {
-        let loads = self.books.values().map(|book| ToldLoad {
+    pub fn local_loads(&self) -> Vec<PeerLoad> {
+        let loads = self.books.values().map(|book| PeerLoad {
             engine: book.hash,
             load: book.queue.own(),
         });
@@ -659,7 +663,7 @@
     }
 
     /// The parts that were sent since this was last asked.
-    pub fn take_untold(&mut self) -> Vec<ToldPart> {
+    pub fn take_unsent_parts(&mut self) -> Vec<PeerPart> {
         std::mem::take(&mut self.untold)
     }
 
@@ -669,8 +673,8 @@
         &mut self,
         now: ClockTime,
         peer: &InstanceId,
-        loads: &[ToldLoad],
-        parts: &[ToldPart],
+        loads: &[PeerLoad],
+        parts: &[PeerPart],
     ) {
         for book in self.books.values_mut() {
             let told = loads.iter().find(|told| told.engine == book.hash);
@@ -690,7 +694,7 @@
 /// from `source`, the prefills that the engine has to do itself, and its batch.
 fn run_cost_ms(
     now: ClockTime,
-    book: &EngineBook,
+    book: &EngineState,
     source: Option<&FailureDomain>,
     ask: PlanRequest<'_>,
 ) -> f64 {
@@ -705,12 +709,12 @@
 
 /// The engine that all entries take the last shared part to belong to: of the
 /// engines that prefill at full speed, the one with the greatest hash.
-fn rendezvous(books: &[&EngineBook], work: &PromptWork) -> Option<u32> {
+fn rendezvous(books: &[&EngineState], work: &PromptWork) -> Option<u32> {
     let part = work.shared().last()?;
     let has_fast = books.iter().any(|book| book.prefill_slowdown() == 1.0);
     let candidates = books
         .iter()
         .filter(|book| !has_fast || book.prefill_slowdown() == 1.0);
-    let score = |book: &&&EngineBook| xxh3_64_with_seed(&book.hash.to_le_bytes(), part.id);
+    let score = |book: &&&EngineState| xxh3_64_with_seed(&book.hash.to_le_bytes(), part.id);
     candidates.max_by_key(score).map(|book| book.number)
 }
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -16,11 +16,11 @@
 
 pub use self::{
     engine::{
-        EndpointTarget, EngineBooks, NoEngine, PlanRequest, PrefillPlan, PrefillTicket, ToldLoad,
-        ToldPart,
+        EndpointTarget, EngineTable, PeerLoad, PeerPart, PlacementError, PlanRequest, PrefillPlan,
+        PrefillTicket,
     },
-    parts::PartPlaces,
+    parts::PartLocations,
     prompt::{ParsePromptError, PromptPart, PromptWork},
-    queue::{EngineLoad, EngineQueue, RANKS},
-    replicas::{ReplicaBooks, ReplicaChoice},
+    queue::{EngineLoad, EngineQueue, PRIORITY_RANKS},
+    replicas::{ReplicaChoice, ReplicaTable},
 };
--- a/crates/core/src/placement/parts.rs
+++ b/crates/core/src/placement/parts.rs
@@ -22,15 +22,15 @@
 
 /// Which engines hold which parts, as far as this entry knows.
 #[derive(Clone, Debug, Default)]
-pub struct PartPlaces {
+pub struct PartLocations {
     places: HashMap<u64, Vec<PartPlace>>,
     swept_at: ClockTime,
 }
 
-impl PartPlaces {
+impl PartLocations {
     /// Nothing known.
-    pub fn new() -> PartPlaces {
-        PartPlaces::default()
+    pub fn new() -> PartLocations {
+        PartLocations::default()
     }
 
     /// The engine with this number reads or has the parts.
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -8,7 +8,7 @@
 };
 
 /// How many ranks of urgency are told apart; less urgent ones share the last.
-pub const RANKS: usize = 4;
+pub const PRIORITY_RANKS: usize = 4;
 
 /// How long another entry's word counts. Entries tell each other some times a
 /// second; one that is silent for longer is gone or cut off.
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineLoad {
     /// Prefill work that is not done, in ms, by urgency.
-    pub prefill_ms: [f64; RANKS],
+    pub prefill_ms: [f64; PRIORITY_RANKS],
     /// Requests that run.
     pub running: u32,
 }
@@ -143,7 +143,7 @@
 
     /// Whether nothing is known to be queued.
     pub fn is_idle(&self, now: ClockTime) -> bool {
-        self.wait_ms(now, RANKS - 1) == 0.0
+        self.wait_ms(now, PRIORITY_RANKS - 1) == 0.0
     }
 
     fn fresh_words(&self, now: ClockTime) -> impl Iterator<Item = &PeerWord> {
--- a/crates/core/src/placement/replicas.rs
+++ b/crates/core/src/placement/replicas.rs
@@ -19,15 +19,15 @@
 const FIRST_GUESS_MS: f64 = 20.0;
 
 #[derive(Clone, Debug)]
-struct ReplicaBook {
+struct ReplicaState {
     outstanding: u32,
     average_ms: f64,
     health: EndpointHealth,
 }
 
-impl ReplicaBook {
-    fn new() -> ReplicaBook {
-        ReplicaBook {
+impl ReplicaState {
+    fn new() -> ReplicaState {
+        ReplicaState {
             outstanding: 0,
             average_ms: FIRST_GUESS_MS,
             health: EndpointHealth::new(),
@@ -48,17 +48,17 @@
 
 /// What this entry knows of replicas of plain services.
 #[derive(Clone, Debug)]
-pub struct ReplicaBooks {
+pub struct ReplicaTable {
     settings: RoutingSettings,
     random: ChaCha8Rng,
-    books: BTreeMap<EndpointId, ReplicaBook>,
+    books: BTreeMap<EndpointId, ReplicaState>,
     silent_domains: BTreeSet<FailureDomain>,
 }
 
-impl ReplicaBooks {
+impl ReplicaTable {
     /// Nothing known.
-    pub fn new(settings: RoutingSettings) -> ReplicaBooks {
-        ReplicaBooks {
+    pub fn new(settings: RoutingSettings) -> ReplicaTable {
+        ReplicaTable {
             settings,
             random: ChaCha8Rng::seed_from_u64(0),
             books: BTreeMap::new(),
@@ -67,7 +67,7 @@
     }
 
     /// Draws ties from `seed`, so that entries don't all take the same replica.
-    pub fn with_seed(mut self, seed: u64) -> ReplicaBooks {
+    pub fn with_seed(mut self, seed: u64) -> ReplicaTable {
         self.random = ChaCha8Rng::seed_from_u64(seed);
         self
     }
@@ -89,7 +89,7 @@
             let book = self
                 .books
                 .entry(registration.id.clone())
-                .or_insert_with(ReplicaBook::new);
+                .or_insert_with(ReplicaState::new);
             let is_ejected =
                 book.health.is_ejected(now) || self.silent_domains.contains(&registration.domain);
             let share = f64::from(book.health.share(now, &self.settings).max(1)) / 100.0;
@@ -117,7 +117,7 @@
 
     /// Failure domains that seem to be cut off from here; their replicas are taken
     /// only if there are no others.
-    pub fn set_silent_domains(&mut self, domains: BTreeSet<FailureDomain>) {
+    pub fn set_unreachable_domains(&mut self, domains: BTreeSet<FailureDomain>) {
         self.silent_domains = domains;
     }
 
@@ -126,7 +126,7 @@
         let book = self
             .books
             .entry(endpoint.clone())
-            .or_insert_with(ReplicaBook::new);
+            .or_insert_with(ReplicaState::new);
         book.outstanding += 1;
     }
 
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -29,19 +29,19 @@
 };
 
 /// How many endpoints a request may cost.
-pub const ENDPOINTS_LOST_LIMIT: usize = 2;
+pub const MAX_LOST_ENDPOINTS: usize = 2;
 
 /// How many fingerprints are kept.
-pub const FINGERPRINTS_KEPT: usize = 1_024;
+pub const MAX_FINGERPRINTS: usize = 1_024;
 
 /// For how many records of the log a fingerprint is remembered after its last
 /// crash. Engines are replaced and mended, so a condemnation does not last for good.
-pub const REMEMBERED_RECORDS: u64 = 100_000;
+pub const RETENTION_RECORDS: u64 = 100_000;
 
 /// What is known of a request's part in crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum CrashStanding {
+pub enum CrashStatus {
     /// Nothing.
     Clean,
     /// It ran on an endpoint that crashed.
@@ -50,13 +50,13 @@
     Quarantined,
 }
 
-impl CrashStanding {
+impl CrashStatus {
     /// The standing of a request that cost this many endpoints.
-    pub fn with_lost(endpoints: usize) -> CrashStanding {
+    pub fn with_lost_endpoints(endpoints: usize) -> CrashStatus {
         match endpoints {
-            0 => CrashStanding::Clean,
-            n if n < ENDPOINTS_LOST_LIMIT => CrashStanding::Suspect,
-            _ => CrashStanding::Quarantined,
+            0 => CrashStatus::Clean,
+            n if n < MAX_LOST_ENDPOINTS => CrashStatus::Suspect,
+            _ => CrashStatus::Quarantined,
         }
     }
 }
@@ -93,7 +93,7 @@
     pub fn apply(&mut self, _now: ClockTime, offset: LogOffset, record: &QuarantineRecord) {
         self.forget_old(offset);
         if record.cleared {
-            if self.standing(&record.fingerprint) == CrashStanding::Suspect {
+            if self.status(&record.fingerprint) == CrashStatus::Suspect {
                 self.histories.remove(&record.fingerprint);
             }
             return;
@@ -113,7 +113,7 @@
             incarnation: record.incarnation,
         });
         history.last = history.last.max(offset);
-        if self.histories.len() <= FINGERPRINTS_KEPT {
+        if self.histories.len() <= MAX_FINGERPRINTS {
             return;
         }
         let oldest = self.histories.iter().min_by_key(|(_, h)| h.last);
@@ -125,7 +125,7 @@
     fn forget_old(&mut self, offset: LogOffset) {
         let age = |history: &CrashHistory| offset.number().saturating_sub(history.last.number());
         self.histories
-            .retain(|_, history| age(history) <= REMEMBERED_RECORDS);
+            .retain(|_, history| age(history) <= RETENTION_RECORDS);
     }
 
     /// The endpoints that were lost while the request ran there.
@@ -135,8 +135,8 @@
     }
 
     /// The request's standing by the log alone.
-    pub fn standing(&self, fingerprint: &RequestFingerprint) -> CrashStanding {
-        CrashStanding::with_lost(self.lost(fingerprint).len())
+    pub fn status(&self, fingerprint: &RequestFingerprint) -> CrashStatus {
+        CrashStatus::with_lost_endpoints(self.lost(fingerprint).len())
     }
 
     /// The crashes as items of a checkpoint.
--- a/crates/core/src/quarantine/trials.rs
+++ b/crates/core/src/quarantine/trials.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     ids::{EndpointId, InstanceId, RequestFingerprint},
-    quarantine::{CrashSite, CrashStanding, QuarantineState},
+    quarantine::{CrashSite, CrashStatus, QuarantineState},
 };
 
 /// How many fingerprints an entry remembers by itself.
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrialChoice {
     /// On one of these.
-    Among(Vec<EndpointId>),
+    AnyOf(Vec<EndpointId>),
     /// Nowhere until another suspect's run ends.
     Wait,
 }
@@ -70,12 +70,8 @@
     }
 
     /// The request's standing, by the log and by own evidence.
-    pub fn standing(
-        &self,
-        log: &QuarantineState,
-        fingerprint: &RequestFingerprint,
-    ) -> CrashStanding {
-        CrashStanding::with_lost(self.lost(log, fingerprint).len())
+    pub fn status(&self, log: &QuarantineState, fingerprint: &RequestFingerprint) -> CrashStatus {
+        CrashStatus::with_lost_endpoints(self.lost(log, fingerprint).len())
     }
 
     /// Where the suspect may run, of the sorted `endpoints` and by the sorted list
@@ -102,7 +98,7 @@
         let free: Vec<EndpointId> = free.map(|(_, endpoint)| endpoint.clone()).collect();
         match free.is_empty() {
             true => TrialChoice::Wait,
-            false => TrialChoice::Among(free),
+            false => TrialChoice::AnyOf(free),
         }
     }
 
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -361,7 +361,7 @@
         let request = RequestId::new(format!("{name}-0")).expect("valid");
         queue.finish(at(number), &request, TokenCount::ZERO);
     }
-    assert!(queue.remembered_organisations() < 5_000);
+    assert!(queue.tracked_organisations() < 5_000);
 }
 
 /// The engines' queues fill up: first tokens come later and later although
--- a/crates/core/tests/placement_engines.rs
+++ b/crates/core/tests/placement_engines.rs
@@ -8,8 +8,8 @@
     ids::{EndpointId, FailureDomain, InstanceId, ServiceName},
     ingress::EngineRule,
     placement::{
-        EngineBooks, EngineLoad, NoEngine, PlanRequest, PrefillPlan, PromptWork, RANKS, ToldLoad,
-        ToldPart,
+        EngineLoad, EngineTable, PRIORITY_RANKS, PeerLoad, PeerPart, PlacementError, PlanRequest,
+        PrefillPlan, PromptWork,
     },
     routing::RoutingSettings,
     units::{ByteSize, TokenCount},
@@ -57,8 +57,8 @@
     }
 }
 
-fn books(engines: &[(&str, &str, EngineStage)]) -> EngineBooks {
-    let mut books = EngineBooks::new(RoutingSettings::default()).with_seed(1);
+fn books(engines: &[(&str, &str, EngineStage)]) -> EngineTable {
+    let mut books = EngineTable::new(RoutingSettings::default()).with_seed(1);
     for (name, domain, stage) in engines {
         books.set_engine(at(0), &engine(name, domain, *stage));
     }
@@ -70,7 +70,7 @@
     rule: EngineRule,
     work: PromptWork,
     priority: u8,
-    tried: Vec<EndpointId>,
+    excluded: Vec<EndpointId>,
     time_left: TimeSpan,
 }
 
@@ -81,7 +81,7 @@
             rule: rule(),
             work: PromptWork::new(sizes, parts).unwrap(),
             priority: CHAT_PRIORITY,
-            tried: Vec::new(),
+            excluded: Vec::new(),
             time_left: TimeSpan::from_secs(60),
         }
     }
@@ -102,13 +102,13 @@
             rule: &self.rule,
             work: &self.work,
             priority: self.priority,
-            tried: &self.tried,
+            excluded: &self.excluded,
             time_left: self.time_left,
         }
     }
 }
 
-fn plan(books: &mut EngineBooks, now: u64, ask: &Ask) -> PrefillPlan {
+fn plan(books: &mut EngineTable, now: u64, ask: &Ask) -> PrefillPlan {
     books.plan(at(now), ask.request()).unwrap()
 }
 
@@ -128,7 +128,7 @@
         let next = Ask::new("6100,35", &format!("aa:512,bb:4870,{turn}d:718"));
         let plan = plan(&mut books, 200 + turn, &next);
         assert_eq!(plan.engine, chosen.engine);
-        assert_eq!(plan.held, 5_382);
+        assert_eq!(plan.held_tokens, 5_382);
     }
 }
 
@@ -176,7 +176,7 @@
     let chosen = plan(&mut books, 0, &ask);
     let mut load = EngineLoad::default();
     load.prefill_ms[0] = 500.0;
-    let told = ToldLoad {
+    let told = PeerLoad {
         engine: books.hash(&chosen.engine.id).unwrap(),
         load,
     };
@@ -199,7 +199,7 @@
         .find(|name| id(name) != plan(&mut books, 0, &ask).engine.id)
         .unwrap();
     let engine = books.hash(&id(other)).unwrap();
-    let parts = [0xaa, 0xbb].map(|part| ToldPart { engine, part });
+    let parts = [0xaa, 0xbb].map(|part| PeerPart { engine, part });
     let peer = InstanceId::new("peer").unwrap();
     books.note_peer(at(0), &peer, &[], &parts);
     assert_eq!(plan(&mut books, 1, &ask).engine.id, id(other));
@@ -230,12 +230,12 @@
         let ask = Ask::new("6000,35", &format!("aa:512,bb:4870,{turn}c:618"));
         let plan = plan(&mut books, 0, &ask);
         assert_eq!(plan.engine.id, id("p1"));
-        assert!(!plan.runs_there);
+        assert!(!plan.runs_request);
         books.prefill_sent(at(0), &plan, &ask.work);
     }
     books.remove_engine(&id("p1"));
     let ask = Ask::new("6000,35", "aa:512,bb:4870,c1:618");
-    assert!(plan(&mut books, 0, &ask).runs_there);
+    assert!(plan(&mut books, 0, &ask).runs_request);
 }
 
 #[test]
@@ -273,7 +273,7 @@
     }
     books.set_engine(at(0), &engine("d1", "a", P));
     let mut tried = Ask::new("600,35", "aa:119,bb:79,c1:402");
-    tried.tried = vec![id("p1")];
+    tried.excluded = vec![id("p1")];
     assert_eq!(plan(&mut books, 3_500, &tried).engine.id, id("d1"));
 }
 
@@ -313,7 +313,7 @@
     books.refused(at(2_000), &id("d1"));
     assert!(books.refusing(at(2_200)).is_empty());
     // What refused another entry is left alone here as well, and not told on.
-    books.refused_another(at(3_000), hash);
+    books.note_peer_refusal(at(3_000), hash);
     let runner = books.choose_runner(at(3_100), ask.request(), &id("p1"));
     assert_eq!(runner.unwrap().id, id("d2"));
     assert!(books.refusing(at(3_100)).is_empty());
@@ -332,7 +332,7 @@
     let mut books = books(&engines);
     let work = Ask::new("6000,35", "aa:512,bb:4870,c1:618");
     let behind = FailureDomain::new("b").unwrap();
-    books.set_silent_domains(BTreeSet::from([behind]));
+    books.set_unreachable_domains(BTreeSet::from([behind]));
     for turn in 0..5 {
         // Nothing is shared, so only the queues speak, and that of `p2` is empty.
         let other = Ask::new("6000,35", &format!("{turn}e:6000"));
@@ -351,14 +351,14 @@
     // would only hold up everybody else in the process.
     let mut books = books(&[("p1", "a", P), ("d1", "a", D)]);
     let mut ask = Ask::new("600,35", "aa:119,bb:79,c1:402");
-    ask.tried = vec![id("p1"), id("d1")];
+    ask.excluded = vec![id("p1"), id("d1")];
     assert!(books.plan(at(0), ask.request()).is_err());
     assert!(
         books
             .choose_runner(at(0), ask.request(), &id("p1"))
             .is_err()
     );
-    let mut empty = EngineBooks::new(RoutingSettings::default());
+    let mut empty = EngineTable::new(RoutingSettings::default());
     assert!(empty.plan(at(0), ask.request()).is_err());
 }
 
@@ -368,13 +368,13 @@
     let ask = Ask::new("6000,35", "aa:512,bb:4870,c1:618");
     let first = plan(&mut books, 0, &ask);
     books.prefill_sent(at(0), &first, &ask.work);
-    assert_eq!(plan(&mut books, 1, &ask).held, 6_000);
+    assert_eq!(plan(&mut books, 1, &ask).held_tokens, 6_000);
     let mut restarted = engine("p1", "a", P);
     restarted.start = 2;
     books.set_engine(at(0), &restarted);
     // Half of the shared part is believed by rendezvous, and nothing is queued.
-    assert!(plan(&mut books, 2, &ask).held < 3_000);
-    assert!(books.own_loads().is_empty());
+    assert!(plan(&mut books, 2, &ask).held_tokens < 3_000);
+    assert!(books.local_loads().is_empty());
 }
 
 #[test]
@@ -403,8 +403,8 @@
         books.run_started(&id("d1"));
         books.run_ended(&id("d1"));
     }
-    assert!(books.own_loads().is_empty());
-    assert_eq!(RANKS, 4);
+    assert!(books.local_loads().is_empty());
+    assert_eq!(PRIORITY_RANKS, 4);
 }
 
 #[test]
@@ -439,10 +439,10 @@
         .collect();
     for entry in 0..60 {
         let mut books = books(&engines).with_seed(entry);
-        let told: Vec<ToldLoad> = queues
+        let told: Vec<PeerLoad> = queues
             .keys()
             .enumerate()
-            .map(|(number, engine)| ToldLoad {
+            .map(|(number, engine)| PeerLoad {
                 engine: books.hash(engine).unwrap(),
                 load: EngineLoad {
                     prefill_ms: [0.0, if number % 5 == 0 { 0.0 } else { 150.0 }, 0.0, 0.0],
@@ -451,7 +451,7 @@
             })
             .collect();
         books.note_peer(at(0), &InstanceId::new("told").unwrap(), &told, &[]);
-        books.set_considered(considered);
+        books.set_candidate_share(considered);
         for request in 0..2 {
             let parts = format!("{:x}:2750", 1_000 + entry * 2 + request);
             let ask = Ask::new("2750,2", &parts);
@@ -483,10 +483,10 @@
     new.is_preemptible = true;
     books.set_engine(at(0), &new);
     let ask = Ask::new("800,20", "aa:200,bb:600");
-    let runner = |books: &mut EngineBooks, now: u64, tried: &[EndpointId]| {
+    let runner = |books: &mut EngineTable, now: u64, tried: &[EndpointId]| {
         let tried = tried.to_vec();
         let ask = Ask {
-            tried,
+            excluded: tried,
             ..Ask::new("800,20", "aa:200,bb:600")
         };
         books.choose_runner(at(now), ask.request(), &id("p1"))
@@ -504,12 +504,12 @@
 
 /// A fleet in which prompts that arrived in a flood wait for eight seconds on each
 /// engine that prefills.
-fn flooded() -> EngineBooks {
+fn flooded() -> EngineTable {
     let mut books = books(&[("p1", "a", P), ("p2", "a", P), ("d1", "a", D)]);
     for name in ["p1", "p2", "d1"] {
         let mut load = EngineLoad::default();
         load.prefill_ms[usize::from(CHAT_PRIORITY)] = 8_000.0;
-        let told = ToldLoad {
+        let told = PeerLoad {
             engine: books.hash(&id(name)).unwrap(),
             load,
         };
@@ -527,7 +527,7 @@
     let mut books = flooded();
     let ask = Ask::new("6000,35", "").with_time_left(5_000);
     let refused = books.plan(at(0), ask.request());
-    let Err(NoEngine::TooLate { late }) = refused else {
+    let Err(PlacementError::TooLate { late }) = refused else {
         panic!("{refused:?}");
     };
     let late = late.as_millis();
@@ -540,7 +540,7 @@
     // where few engines are considered for each request.
     let mut books = flooded();
     books.set_engine(at(0), &engine("p3", "b", P));
-    books.set_considered(0.01);
+    books.set_candidate_share(0.01);
     for _ in 0..50 {
         let ask = Ask::new("6000,35", "").with_time_left(5_000);
         assert!(books.plan(at(0), ask.request()).is_ok());
--- a/crates/core/tests/placement_replicas.rs
+++ b/crates/core/tests/placement_replicas.rs
@@ -6,7 +6,7 @@
     clock::{ClockTime, TimeSpan},
     directory::EndpointRegistration,
     ids::{EndpointId, FailureDomain, ServiceName},
-    placement::ReplicaBooks,
+    placement::ReplicaTable,
     routing::RoutingSettings,
 };
 
@@ -38,11 +38,11 @@
         .to_vec()
 }
 
-fn books() -> ReplicaBooks {
-    ReplicaBooks::new(RoutingSettings::default()).with_seed(3)
+fn books() -> ReplicaTable {
+    ReplicaTable::new(RoutingSettings::default()).with_seed(3)
 }
 
-fn choose(books: &mut ReplicaBooks, now: u64, tried: &[EndpointId]) -> Option<EndpointId> {
+fn choose(books: &mut ReplicaTable, now: u64, tried: &[EndpointId]) -> Option<EndpointId> {
     let choice = books.choose(at(now), replicas().iter(), tried)?;
     Some(choice.endpoint)
 }
@@ -122,7 +122,7 @@
 fn replicas_behind_a_cut_are_the_last_choice() {
     let mut books = books();
     let cut = ["a", "b"].map(|name| FailureDomain::new(name).unwrap());
-    books.set_silent_domains(BTreeSet::from(cut));
+    books.set_unreachable_domains(BTreeSet::from(cut));
     for _ in 0..10 {
         assert_eq!(choose(&mut books, 0, &[]), Some(id("three")));
         books.sent(&id("three"));
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -6,8 +6,8 @@
     clock::ClockTime,
     ids::{EndpointId, InstanceId, LogOffset, OrganisationId, RequestFingerprint},
     quarantine::{
-        CrashSite, CrashStanding, CrashTrials, FINGERPRINTS_KEPT, QuarantineState,
-        REMEMBERED_RECORDS, TrialChoice,
+        CrashSite, CrashStatus, CrashTrials, MAX_FINGERPRINTS, QuarantineState, RETENTION_RECORDS,
+        TrialChoice,
     },
     records::QuarantineRecord,
 };
@@ -40,37 +40,34 @@
     let mut state = QuarantineState::new();
     state.apply(NOW, LogOffset::new(1), &crash("x", 1, 7));
     state.apply(NOW, LogOffset::new(2), &crash("x", 1, 7));
-    assert_eq!(state.standing(&fingerprint("x")), CrashStanding::Suspect);
+    assert_eq!(state.status(&fingerprint("x")), CrashStatus::Suspect);
     let mut cleared = crash("x", 1, 7);
     cleared.cleared = true;
     state.apply(NOW, LogOffset::new(3), &cleared);
-    assert_eq!(state.standing(&fingerprint("x")), CrashStanding::Clean);
+    assert_eq!(state.status(&fingerprint("x")), CrashStatus::Clean);
     state.apply(NOW, LogOffset::new(4), &crash("x", 1, 7));
     state.apply(NOW, LogOffset::new(5), &crash("x", 1, 8));
     state.apply(NOW, LogOffset::new(6), &cleared);
-    assert_eq!(
-        state.standing(&fingerprint("x")),
-        CrashStanding::Quarantined
-    );
+    assert_eq!(state.status(&fingerprint("x")), CrashStatus::Quarantined);
 }
 
 #[test]
 fn what_is_kept_is_bounded_by_the_log_alone() {
     let mut state = QuarantineState::new();
-    for number in 0..FINGERPRINTS_KEPT + 10 {
+    for number in 0..MAX_FINGERPRINTS + 10 {
         let offset = LogOffset::new(number as u64);
         state.apply(NOW, offset, &crash(&format!("x{number}"), 1, 1));
     }
-    assert_eq!(state.standing(&fingerprint("x9")), CrashStanding::Clean);
-    assert_eq!(state.standing(&fingerprint("x10")), CrashStanding::Suspect);
+    assert_eq!(state.status(&fingerprint("x9")), CrashStatus::Clean);
+    assert_eq!(state.status(&fingerprint("x10")), CrashStatus::Suspect);
     let mut restored = QuarantineState::new();
     for item in state.checkpoint() {
         restored.restore(NOW, &item);
     }
     assert_eq!(restored, state);
-    let late = LogOffset::new(REMEMBERED_RECORDS + 20_000);
+    let late = LogOffset::new(RETENTION_RECORDS + 20_000);
     state.apply(NOW, late, &crash("y", 1, 1));
-    assert_eq!(state.standing(&fingerprint("x1000")), CrashStanding::Clean);
+    assert_eq!(state.status(&fingerprint("x1000")), CrashStatus::Clean);
 }
 
 const ENDPOINTS: usize = 6;
@@ -151,15 +148,15 @@
         let fingerprint = self.requests[number].fingerprint.clone();
         let all: Vec<EndpointId> = (0..ENDPOINTS).map(endpoint).collect();
         let trials = &mut self.trials[entry];
-        let chosen = match trials.standing(&self.log, &fingerprint) {
-            CrashStanding::Quarantined => {
+        let chosen = match trials.status(&self.log, &fingerprint) {
+            CrashStatus::Quarantined => {
                 self.requests[number].quarantined = true;
                 return;
             }
-            CrashStanding::Clean => all.choose(&mut self.random).cloned(),
-            CrashStanding::Suspect => match trials.choose(&fingerprint, &all, &entries()) {
+            CrashStatus::Clean => all.choose(&mut self.random).cloned(),
+            CrashStatus::Suspect => match trials.choose(&fingerprint, &all, &entries()) {
                 TrialChoice::Wait => None,
-                TrialChoice::Among(free) => {
+                TrialChoice::AnyOf(free) => {
                     trials.begin(&fingerprint, &free[0]);
                     Some(free[0].clone())
                 }
@@ -197,7 +194,7 @@
         request.ended = true;
         let fingerprint = request.fingerprint.clone();
         let trials = &mut self.trials[place.entry];
-        if trials.standing(&self.log, &fingerprint) == CrashStanding::Suspect {
+        if trials.status(&self.log, &fingerprint) == CrashStatus::Suspect {
             trials.end(&endpoint(place.endpoint));
             trials.cleared(&fingerprint);
             let mut record = crash(&number.to_string(), place.endpoint, 0);
@@ -233,7 +230,7 @@
     for entry in entries() {
         let trials = CrashTrials::new(entry.clone());
         let choice = trials.choose(&fingerprint("x"), &all, &entries());
-        let TrialChoice::Among(free) = choice else {
+        let TrialChoice::AnyOf(free) = choice else {
             panic!("nothing runs yet");
         };
         for endpoint in free {
@@ -245,5 +242,5 @@
     let few = &all[..2];
     let last = CrashTrials::new(entries()[2].clone());
     let choice = last.choose(&fingerprint("x"), few, &entries());
-    assert_eq!(choice, TrialChoice::Among(vec![endpoint(0)]));
+    assert_eq!(choice, TrialChoice::AnyOf(vec![endpoint(0)]));
 }
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -5,7 +5,7 @@
 use bluebell_core::{
     clock::TimeSpan,
     ids::{EndpointId, InstanceId, RequestFingerprint},
-    quarantine::{CrashSite, CrashStanding, CrashTrials, TrialChoice},
+    quarantine::{CrashSite, CrashStatus, CrashTrials, TrialChoice},
     records::{LogRecord, QuarantineRecord},
     routing::RoutePool,
 };
@@ -86,10 +86,10 @@
 
 impl EntryContext {
     /// What is known of the request's part in crashes.
-    pub fn standing(&self, fingerprint: &RequestFingerprint) -> CrashStanding {
+    pub fn standing(&self, fingerprint: &RequestFingerprint) -> CrashStatus {
         let trials = self.crashes.lock();
         self.node
-            .with_view(|view| trials.standing(&view.quarantine, fingerprint))
+            .with_view(|view| trials.status(&view.quarantine, fingerprint))
     }
 
     /// The endpoints of a pool that serve and stay, by id.
--- a/crates/entry/src/model_run/choice.rs
+++ b/crates/entry/src/model_run/choice.rs
@@ -3,7 +3,7 @@
 use bluebell_core::{
     clock::TimeSpan,
     ids::EndpointId,
-    quarantine::{CrashStanding, TrialChoice},
+    quarantine::{CrashStatus, TrialChoice},
     routing::{RouteRequest, prefix_digest},
 };
 use bluebell_endpoint::{EndpointError, api::StreamItem};
@@ -22,9 +22,9 @@
     pub(super) async fn choose(&mut self) -> Result<RoutedAttempt, Refusal> {
         self.check_deadline()?;
         let excluded = match self.context.standing(&self.work.fingerprint) {
-            CrashStanding::Clean => self.avoided.union(&self.lossy).cloned().collect(),
-            CrashStanding::Suspect => self.wait_for_trial().await?,
-            CrashStanding::Quarantined => {
+            CrashStatus::Clean => self.avoided.union(&self.lossy).cloned().collect(),
+            CrashStatus::Suspect => self.wait_for_trial().await?,
+            CrashStatus::Quarantined => {
                 let message = "the request crashed endpoints and is not run again";
                 return Err(self.refusal(RefusalCode::RequestQuarantined, message));
             }
@@ -63,7 +63,7 @@
                 return Some(None);
             }
             match context.trial_choice(&fingerprint, &usable) {
-                TrialChoice::Among(free) => {
+                TrialChoice::AnyOf(free) => {
                     let endpoint = free.into_iter().next()?;
                     let ticket = watch.begin(&fingerprint, &endpoint);
                     Some(Some((endpoint, ticket)))
--- a/crates/entry/src/plain_run/mod.rs
+++ b/crates/entry/src/plain_run/mod.rs
@@ -15,7 +15,7 @@
     clock::{ClockTime, TimeSpan},
     config::WorkPriority,
     ids::{OrganisationId, RequestFingerprint, ServiceName},
-    quarantine::CrashStanding,
+    quarantine::CrashStatus,
     records::IdempotencyClaim,
     retries::RetryAnswer,
     routing::RoutePool,
@@ -203,7 +203,7 @@
     }
 
     fn check_quarantine(&self) -> Result<(), Refusal> {
-        if self.context.standing(&self.work.fingerprint) != CrashStanding::Quarantined {
+        if self.context.standing(&self.work.fingerprint) != CrashStatus::Quarantined {
             return Ok(());
         }
         let message = "the request crashed endpoints and is not run again";
--- a/crates/ingress/src/context.rs
+++ b/crates/ingress/src/context.rs
@@ -8,7 +8,7 @@
     directory::EndpointDirectory,
     ids::LogOffset,
     ingress::ConfigurationBelief,
-    placement::{EngineBooks, ReplicaBooks},
+    placement::{EngineTable, ReplicaTable},
     provision::DemandBoard,
     relay::{AdvertisedConfiguration, DifferenceWatch},
     retries::{SharedAllowance, SharedBudget},
@@ -95,11 +95,11 @@
     /// The endpoints.
     pub directory: Shared<EndpointDirectory>,
     /// The engines' queues and memories.
-    pub engines: Shared<EngineBooks>,
+    pub engines: Shared<EngineTable>,
     /// What requests ask of engines, here and at the other entries.
     pub demands: Shared<DemandBoard>,
     /// The replicas of plain services.
-    pub replicas: Shared<ReplicaBooks>,
+    pub replicas: Shared<ReplicaTable>,
     /// The budget of repeats.
     pub budget: Shared<SharedBudget>,
     /// Counts for usage windows.
@@ -157,9 +157,9 @@
             engine_client,
             belief: Shared::new(ConfigurationBelief::new()),
             directory: Shared::new(directory),
-            engines: Shared::new(EngineBooks::new(routing.clone()).with_seed(seed)),
+            engines: Shared::new(EngineTable::new(routing.clone()).with_seed(seed)),
             demands: Shared::new(DemandBoard::new()),
-            replicas: Shared::new(ReplicaBooks::new(routing).with_seed(seed)),
+            replicas: Shared::new(ReplicaTable::new(routing).with_seed(seed)),
             budget: Shared::new(SharedBudget::new(allowance)),
             meter: Shared::new(UsageMeter::new()),
             peers: Shared::new(PeerTable::new()),
--- a/crates/ingress/src/forward/generate.rs
+++ b/crates/ingress/src/forward/generate.rs
@@ -8,7 +8,7 @@
     clock::TimeSpan,
     ids::EndpointId,
     ingress::EngineRule,
-    placement::{EndpointTarget, NoEngine, PlanRequest, PrefillPlan, PromptWork},
+    placement::{EndpointTarget, PlacementError, PlanRequest, PrefillPlan, PromptWork},
     retries::{EngineArrival, RequestArrivals},
 };
 use hyper::Response;
@@ -230,7 +230,7 @@
             Some(prefilled) => prefilled,
             None => {
                 let plan = self.plan()?;
-                if plan.runs_there {
+                if plan.runs_request {
                     return self.run_at_once(&plan, last_id).await;
                 }
                 let source = self.prefill(&plan).await?;
@@ -302,7 +302,7 @@
             rule,
             work: &self.work,
             priority: self.request.priority,
-            tried: &self.tried,
+            excluded: &self.tried,
             time_left: self.request.time_left(self.context.now()),
         })
     }
@@ -433,7 +433,7 @@
         request_line(&self.context, "first_event", &self.request)
             .with("prefill", &plan.engine.id)
             .with("run", &target.id)
-            .with("held", plan.held)
+            .with("held", plan.held_tokens)
             .with("prompt", self.work.prompt)
             .with("expected", plan.first_token)
             .with("asked", self.asked)
@@ -484,7 +484,7 @@
                 drop(engines);
                 self.context.directory.lock().drop_endpoint(&target.id);
             }
-            421 => engines.wrong_stage(&target.id),
+            421 => engines.note_wrong_stage(&target.id),
             _ => engines.refused(now, &target.id),
         }
     }
@@ -512,9 +512,9 @@
 
 /// What is told a caller for whom there is no engine. Those who would come too late
 /// return when the engines have worked off that much, and not all at the same moment.
-fn no_engine(error: NoEngine) -> FailedTry {
+fn no_engine(error: PlacementError) -> FailedTry {
     let detail = error.to_string();
-    let NoEngine::TooLate { late } = error else {
+    let PlacementError::TooLate { late } = error else {
         return FailedTry::new(RefusalReason::NoEndpoint, detail);
     };
     let least = late.max(DEFAULT_RETRY_AFTER).as_millis();
--- a/crates/ingress/src/forward/prefill.rs
+++ b/crates/ingress/src/forward/prefill.rs
@@ -62,7 +62,7 @@
                 guard.done();
                 request_line(&self.context, "prefilled", &self.request)
                     .with("prefill", &target.id)
-                    .with("held", plan.held)
+                    .with("held", plan.held_tokens)
                     .with("prompt", self.work.prompt)
                     .with("work_ms", plan.work_ms.round())
                     .with("expected", plan.first_token)
--- a/crates/ingress/src/peers/messages.rs
+++ b/crates/ingress/src/peers/messages.rs
@@ -5,7 +5,7 @@
 use bluebell_core::{
     directory::EngineStage,
     ids::{FailureDomain, LogOffset, ServiceName},
-    placement::{EngineLoad, RANKS, ToldLoad, ToldPart},
+    placement::{EngineLoad, PRIORITY_RANKS, PeerLoad, PeerPart},
     provision::EngineDemand,
     relay::{CopyPlace, CopyState},
     units::ByteSize,
@@ -309,7 +309,7 @@
 
 impl PeerMessage {
     /// A datagram.
-    pub fn new(loads: &[ToldLoad], parts: &[ToldPart]) -> PeerMessage {
+    pub fn new(loads: &[PeerLoad], parts: &[PeerPart]) -> PeerMessage {
         let mut by_engine: Vec<PartsMessage> = Vec::new();
         for told in parts {
             match by_engine.iter_mut().find(|m| m.engine == told.engine) {
@@ -378,13 +378,13 @@
     }
 
     /// The loads as the slices know them.
-    pub fn told_loads(&self) -> Vec<ToldLoad> {
+    pub fn told_loads(&self) -> Vec<PeerLoad> {
         let loads = self.loads.iter().map(|message| {
-            let mut prefill_ms = [0.0; RANKS];
+            let mut prefill_ms = [0.0; PRIORITY_RANKS];
             for (rank, told) in prefill_ms.iter_mut().zip(&message.prefill_ms) {
                 *rank = f64::from(*told);
             }
-            ToldLoad {
+            PeerLoad {
                 engine: message.engine,
                 load: EngineLoad {
                     prefill_ms,
@@ -396,11 +396,11 @@
     }
 
     /// The parts as the slices know them.
-    pub fn told_parts(&self) -> Vec<ToldPart> {
+    pub fn told_parts(&self) -> Vec<PeerPart> {
         let parts = self.parts.iter().flat_map(|message| {
             let engine = message.engine;
             let parts = message.parts.iter();
-            parts.map(move |part| ToldPart {
+            parts.map(move |part| PeerPart {
                 engine,
                 part: *part,
             })
--- a/crates/ingress/src/peers/talk.rs
+++ b/crates/ingress/src/peers/talk.rs
@@ -128,11 +128,11 @@
         self.context.share_budget();
         let entries = self.context.peers.lock().len() + 1;
         let share = (ALL_CONSIDERED_BY / entries as f64).powi(2);
-        self.context.engines.lock().set_considered(share);
+        self.context.engines.lock().set_candidate_share(share);
         let (loads, parts, refusing) = {
             let mut engines = self.context.engines.lock();
             let refusing = engines.refusing(now);
-            (engines.own_loads(), engines.take_untold(), refusing)
+            (engines.local_loads(), engines.take_unsent_parts(), refusing)
         };
         let stages = self.context.peers.lock().stage_orders(now);
         let relay = relay::message(&self.context, now);
@@ -210,11 +210,11 @@
         self.context
             .engines
             .lock()
-            .set_silent_domains(silent.clone());
+            .set_unreachable_domains(silent.clone());
         self.context
             .replicas
             .lock()
-            .set_silent_domains(silent.clone());
+            .set_unreachable_domains(silent.clone());
         self.silent_domains = silent;
     }
 
@@ -309,7 +309,7 @@
             engines.note_peer(now, &peer, &loads, &parts);
         }
         for engine in &message.refusing {
-            engines.refused_another(now, *engine);
+            engines.note_peer_refusal(now, *engine);
         }
         for order in &message.stages {
             engines.stage_ordered(now, order.engine, order.stage());
--- a/crates/lab/src/slopes/admission.rs
+++ b/crates/lab/src/slopes/admission.rs
@@ -115,7 +115,7 @@
             format!("{micros:.1}"),
             format!("{heard:.1}"),
             format!("{:.1}", bytes / 1e6),
-            queue.remembered_organisations().to_string(),
+            queue.tracked_organisations().to_string(),
         ]);
     }
     table.finish()
--- a/crates/lab/src/world/entry.rs
+++ b/crates/lab/src/world/entry.rs
@@ -3,7 +3,7 @@
 use bluebell_core::{
     admission::{
         AdmissionAction, AdmissionQueue, AdmissionRequest, AdmissionSettings, PoolCapacity,
-        baselines::ArrivalQueue,
+        baselines::FifoQueue,
     },
     clock::{ClockTime, TimeSpan},
     ids::{FailureDomain, InstanceId, ModelName, RequestId},
@@ -22,7 +22,7 @@
 /// The queue of an entry.
 enum EntryQueue {
     Fair(Box<AdmissionQueue>),
-    Arrival(ArrivalQueue),
+    Arrival(FifoQueue),
 }
 
 /// An entry.
@@ -54,7 +54,7 @@
                 let queue = AdmissionQueue::new(AdmissionSettings::default()).with_seed(seed);
                 EntryQueue::Fair(Box::new(queue))
             }
-            AdmissionRule::ArrivalOrder => EntryQueue::Arrival(ArrivalQueue::new()),
+            AdmissionRule::ArrivalOrder => EntryQueue::Arrival(FifoQueue::new()),
         };
         EntryFake {
             instance: InstanceId::new(format!("entry-{number}")).expect("an identifier"),
