--- a/crates/ingress/src/peers/broadcast.rs
+++ b/crates/ingress/src/peers/broadcast.rs
@@ -129,11 +129,11 @@
         self.context.share_budget();
         let entries = self.context.peers.lock().len() + 1;
         let share = (MAX_ENTRIES_FOR_ALL_ENGINES / entries as f64).powi(2);
-        self.context.engines.lock().set_considered(share);
+        self.context.engines.lock().set_candidate_share(share);
         let (loads, parts, refusing) = {
             let mut engines = self.context.engines.lock();
             let refusing = engines.refusing(now);
-            (engines.own_loads(), engines.take_untold(), refusing)
+            (engines.local_loads(), engines.take_unsent_parts(), refusing)
         };
         let stages = self.context.peers.lock().stage_orders(now);
         let relay = relay::message(&self.context, now);
@@ -223,11 +223,11 @@
         self.context
             .engines
             .lock()
-            .set_silent_domains(unreachable.clone());
+            .set_unreachable_domains(unreachable.clone());
         self.context
             .replicas
             .lock()
-            .set_silent_domains(unreachable.clone());
+            .set_unreachable_domains(unreachable.clone());
         self.unreachable_domains = unreachable;
     }
 
@@ -324,7 +324,7 @@
             engines.note_peer(now, &peer, &loads, &parts);
         }
         for engine in &message.refusing {
-            engines.refused_another(now, *engine);
+            engines.note_peer_refusal(now, *engine);
         }
         for order in &message.stages {
             engines.stage_ordered(now, order.engine, order.stage());
--- a/crates/ingress/src/peers/messages.rs
+++ b/crates/ingress/src/peers/messages.rs
@@ -5,7 +5,7 @@
 use bluebell_core::{
     directory::EngineStage,
     ids::{FailureDomain, LogOffset, ServiceName},
-    placement::{EngineLoad, RANKS, ToldLoad, ToldPart},
+    placement::{EngineLoad, PRIORITY_RANKS, PeerLoad, PeerPart},
     provision::EngineDemand,
     relay::{CopyLocation, CopyState},
     units::ByteSize,
@@ -312,7 +312,7 @@
 
 impl PeerMessage {
     /// A datagram that reports the given loads and parts.
-    pub fn new(loads: &[ToldLoad], parts: &[ToldPart]) -> PeerMessage {
+    pub fn new(loads: &[PeerLoad], parts: &[PeerPart]) -> PeerMessage {
         let mut by_engine: Vec<PartsMessage> = Vec::new();
         for sent in parts {
             match by_engine.iter_mut().find(|m| m.engine == sent.engine) {
@@ -381,13 +381,13 @@
     }
 
     /// Decodes the loads.
-    pub fn peer_loads(&self) -> Vec<ToldLoad> {
+    pub fn peer_loads(&self) -> Vec<PeerLoad> {
         let loads = self.loads.iter().map(|message| {
-            let mut prefill_ms = [0.0; RANKS];
+            let mut prefill_ms = [0.0; PRIORITY_RANKS];
             for (rank, sent_ms) in prefill_ms.iter_mut().zip(&message.prefill_ms) {
                 *rank = f64::from(*sent_ms);
             }
-            ToldLoad {
+            PeerLoad {
                 engine: message.engine,
                 load: EngineLoad {
                     prefill_ms,
@@ -399,11 +399,11 @@
     }
 
     /// Decodes the parts.
-    pub fn peer_parts(&self) -> Vec<ToldPart> {
+    pub fn peer_parts(&self) -> Vec<PeerPart> {
         let parts = self.parts.iter().flat_map(|message| {
             let engine = message.engine;
             let parts = message.parts.iter();
-            parts.map(move |part| ToldPart {
+            parts.map(move |part| PeerPart {
                 engine,
                 part: *part,
             })
