--- a/crates/core/src/attempts/answer.rs
+++ b/crates/core/src/attempts/answer.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndVerdict {
     /// The answer is whole.
-    Whole,
+    Complete,
     /// It belongs to another request or attempt; it is dropped.
     Dropped,
     /// Its length is not that of what was delivered: this attempt failed.
@@ -37,7 +37,7 @@
     request: RequestId,
     attempt: u32,
     tokens: Vec<String>,
-    whole: bool,
+    complete: bool,
 }
 
 impl AnswerAssembly {
@@ -47,7 +47,7 @@
             request,
             attempt: 0,
             tokens: Vec::new(),
-            whole: false,
+            complete: false,
         }
     }
 
@@ -64,7 +64,7 @@
         position: u64,
         text: &str,
     ) -> TokenVerdict {
-        if *request != self.request || attempt != self.attempt || self.whole {
+        if *request != self.request || attempt != self.attempt || self.complete {
             return TokenVerdict::Dropped;
         }
         let next = self.tokens.len() as u64;
@@ -80,14 +80,14 @@
 
     /// Takes an end mark.
     pub fn end(&mut self, request: &RequestId, attempt: u32, length: u64) -> EndVerdict {
-        if *request != self.request || attempt != self.attempt || self.whole {
+        if *request != self.request || attempt != self.attempt || self.complete {
             return EndVerdict::Dropped;
         }
         if length != self.tokens.len() as u64 {
             return EndVerdict::WrongLength;
         }
-        self.whole = true;
-        EndVerdict::Whole
+        self.complete = true;
+        EndVerdict::Complete
     }
 
     /// The tokens so far: what another engine continues from.
@@ -96,7 +96,7 @@
     }
 
     /// Whether the end mark was there.
-    pub fn is_whole(&self) -> bool {
-        self.whole
+    pub fn is_complete(&self) -> bool {
+        self.complete
     }
 }
--- a/crates/core/src/attempts/mod.rs
+++ b/crates/core/src/attempts/mod.rs
@@ -107,7 +107,7 @@
 pub enum SendRefusal {
     /// An attempt is under way.
     #[error("an attempt is under way")]
-    UnderWay,
+    InProgress,
     /// The request has ended, or ran perhaps and must not run twice.
     #[error("the request has ended")]
     Ended,
@@ -151,12 +151,12 @@
     }
 
     /// Asks to send the next attempt to `endpoint`.
-    pub fn send(&mut self, endpoint: &EndpointId) -> Result<SendPermit, SendRefusal> {
+    pub fn permit_send(&mut self, endpoint: &EndpointId) -> Result<SendPermit, SendRefusal> {
         match self.phase {
             AttemptPhase::Queued => {}
             AttemptPhase::Done => return Err(SendRefusal::Ended),
             AttemptPhase::Sent { .. } | AttemptPhase::Answering { .. } => {
-                return Err(SendRefusal::UnderWay);
+                return Err(SendRefusal::InProgress);
             }
         }
         self.attempt += 1;
@@ -191,7 +191,7 @@
     }
 
     /// The endpoint has begun to answer.
-    pub fn answering(&mut self) {
+    pub fn answer_started(&mut self) {
         if let AttemptPhase::Sent { endpoint } = &self.phase {
             let endpoint = endpoint.clone();
             self.phase = AttemptPhase::Answering { endpoint };
@@ -200,8 +200,8 @@
 
     /// The connection was lost or given up. Repeatable work may be sent again;
     /// other work has ended, because it may have run.
-    pub fn lost(&mut self) {
-        if !self.is_under_way() {
+    pub fn connection_lost(&mut self) {
+        if !self.is_in_progress() {
             return;
         }
         self.may_have_run = true;
@@ -213,11 +213,11 @@
 
     /// The answer is whole, or nobody waits for it any more.
     pub fn end(&mut self) {
-        self.may_have_run |= self.is_under_way();
+        self.may_have_run |= self.is_in_progress();
         self.phase = AttemptPhase::Done;
     }
 
-    fn is_under_way(&self) -> bool {
+    fn is_in_progress(&self) -> bool {
         matches!(
             self.phase,
             AttemptPhase::Sent { .. } | AttemptPhase::Answering { .. }
@@ -226,7 +226,7 @@
 
     /// Whether the request may have run until now.
     pub fn outcome(&self) -> RunOutcome {
-        if self.may_have_run || self.is_under_way() {
+        if self.may_have_run || self.is_in_progress() {
             return RunOutcome::Unknown;
         }
         RunOutcome::NotRun(NotRun { _private: () })
--- a/crates/core/src/placement/engine.rs
+++ b/crates/core/src/placement/engine.rs
@@ -546,7 +546,7 @@
             return;
         };
         book.queue.remove(now, ticket.0);
-        book.health.succeed(now, &self.settings);
+        book.health.note_success(now, &self.settings);
         book.refusals = 0;
         let slowdown = book.prefill_slowdown();
         let service = book.service.clone();
@@ -584,7 +584,7 @@
     /// The engine served a request to its end.
     pub fn succeeded(&mut self, now: ClockTime, id: &EndpointId) {
         if let Some(book) = self.books.get_mut(id) {
-            book.health.succeed(now, &self.settings);
+            book.health.note_success(now, &self.settings);
             book.refusals = 0;
         }
     }
@@ -592,7 +592,8 @@
     /// The engine failed, refused or fell silent. Answers the length of an ejection.
     pub fn failed(&mut self, now: ClockTime, id: &EndpointId) -> Option<TimeSpan> {
         let book = self.books.get_mut(id)?;
-        book.health.fail(now, &self.settings, &mut self.random)
+        book.health
+            .note_failure(now, &self.settings, &mut self.random)
     }
 
     /// The engine was ordered to change its stage.
--- a/crates/core/src/placement/replicas.rs
+++ b/crates/core/src/placement/replicas.rs
@@ -138,14 +138,15 @@
         book.outstanding = book.outstanding.saturating_sub(1);
         let took = took.as_millis() as f64;
         book.average_ms += NEWEST_WEIGHT * (took - book.average_ms);
-        book.health.succeed(now, &self.settings);
+        book.health.note_success(now, &self.settings);
     }
 
     /// It failed, refused or fell silent. Answers the length of an ejection.
     pub fn failed(&mut self, now: ClockTime, endpoint: &EndpointId) -> Option<TimeSpan> {
         let book = self.books.get_mut(endpoint)?;
         book.outstanding = book.outstanding.saturating_sub(1);
-        book.health.fail(now, &self.settings, &mut self.random)
+        book.health
+            .note_failure(now, &self.settings, &mut self.random)
     }
 
     /// It was given up for a reason that says nothing about the replica.
--- a/crates/core/src/provision/demand.rs
+++ b/crates/core/src/provision/demand.rs
@@ -24,12 +24,12 @@
 
 /// How long another entry's word counts. An entry that is cut off from the steward
 /// still has its callers.
-const WORD_LIFE: TimeSpan = TimeSpan::from_millis(15_000);
+const REPORT_LIFE: TimeSpan = TimeSpan::from_millis(15_000);
 
 /// Over how long what is needed is averaged, at least and at most: the longer, the
 /// more has been seen. The mix of requests swings within some ten seconds, and a change
 /// of stage costs an engine some of them; following each swing costs more than it gains.
-const LEARNT_OVER: (TimeSpan, TimeSpan) =
+const SMOOTHING_TIME: (TimeSpan, TimeSpan) =
     (TimeSpan::from_millis(3_000), TimeSpan::from_millis(30_000));
 
 /// The weight of the newest stream in the average speed.
@@ -171,24 +171,24 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct ToldDemand {
+struct PeerDemand {
     at: ClockTime,
     demand: EngineDemand,
 }
 
 /// The demand of all entries, as this one knows it.
 #[derive(Clone, Debug, Default)]
-pub struct DemandBoard {
-    own: BTreeMap<ServiceName, DemandMeter>,
-    told: BTreeMap<(ServiceName, InstanceId), ToldDemand>,
+pub struct DemandTable {
+    local: BTreeMap<ServiceName, DemandMeter>,
+    reports: BTreeMap<(ServiceName, InstanceId), PeerDemand>,
     /// Sums of failure domains whose entries are not heard one by one.
-    domains: BTreeMap<(ServiceName, FailureDomain), ToldDemand>,
+    domains: BTreeMap<(ServiceName, FailureDomain), PeerDemand>,
 }
 
-impl DemandBoard {
+impl DemandTable {
     /// Nothing known.
-    pub fn new() -> DemandBoard {
-        DemandBoard::default()
+    pub fn new() -> DemandTable {
+        DemandTable::default()
     }
 
     /// A prefill of `work_ms` was sent.
@@ -212,15 +212,15 @@
     }
 
     /// A stream came to its end; its events came `event_ms` apart on average.
-    pub fn stream_paced(&mut self, now: ClockTime, service: &ServiceName, event_ms: f64) {
+    pub fn note_stream_pace(&mut self, now: ClockTime, service: &ServiceName, event_ms: f64) {
         let meter = self.meter(now, service);
         let pace = meter.pace.get_or_insert_with(|| PaceMeter::new(event_ms));
         pace.note(event_ms.max(1.0));
     }
 
     /// What this entry's requests ask for, by service.
-    pub fn own(&mut self, now: ClockTime) -> Vec<(ServiceName, EngineDemand)> {
-        let meters = self.own.iter_mut().map(|(service, meter)| {
+    pub fn local(&mut self, now: ClockTime) -> Vec<(ServiceName, EngineDemand)> {
+        let meters = self.local.iter_mut().map(|(service, meter)| {
             meter.advance(now);
             (service.clone(), meter.demand())
         });
@@ -235,8 +235,8 @@
         service: ServiceName,
         demand: EngineDemand,
     ) {
-        let told = ToldDemand { at: now, demand };
-        self.told.insert((service, peer.clone()), told);
+        let reports = PeerDemand { at: now, demand };
+        self.reports.insert((service, peer.clone()), reports);
     }
 
     /// An entry of another failure domain told what all entries there ask for.
@@ -247,18 +247,19 @@
         service: ServiceName,
         demand: EngineDemand,
     ) {
-        let told = ToldDemand { at: now, demand };
-        self.domains.insert((service, domain.clone()), told);
+        let reports = PeerDemand { at: now, demand };
+        self.domains.insert((service, domain.clone()), reports);
     }
 
     /// What this entry and those that it hears ask for, by service: the sum of its
     /// failure domain where only the entries there are heard one by one.
-    pub fn heard(&mut self, now: ClockTime) -> Vec<(ServiceName, EngineDemand)> {
-        self.told.retain(|_, told| now.since(told.at) < WORD_LIFE);
-        let mut sums: BTreeMap<ServiceName, EngineDemand> = self.own(now).into_iter().collect();
-        for ((service, _), told) in &self.told {
+    pub fn direct(&mut self, now: ClockTime) -> Vec<(ServiceName, EngineDemand)> {
+        self.reports
+            .retain(|_, reports| now.since(reports.at) < REPORT_LIFE);
+        let mut sums: BTreeMap<ServiceName, EngineDemand> = self.local(now).into_iter().collect();
+        for ((service, _), reports) in &self.reports {
             let sum = sums.entry(service.clone()).or_default();
-            *sum = sum.plus(told.demand);
+            *sum = sum.plus(reports.demand);
         }
         sums.into_iter().collect()
     }
@@ -266,21 +267,21 @@
     /// What all entries ask for of a service.
     pub fn total(&mut self, now: ClockTime, service: &ServiceName) -> EngineDemand {
         self.domains
-            .retain(|_, told| now.since(told.at) < WORD_LIFE);
-        let heard = self.heard(now);
+            .retain(|_, reports| now.since(reports.at) < REPORT_LIFE);
+        let heard = self.direct(now);
         let heard = heard.into_iter().find(|(name, _)| name == service);
         let heard = heard.map(|(_, demand)| demand).unwrap_or_default();
         let domains = self.domains.iter().filter(|((name, _), _)| name == service);
         domains
-            .map(|(_, told)| told.demand)
+            .map(|(_, reports)| reports.demand)
             .fold(heard, EngineDemand::plus)
     }
 
     fn meter(&mut self, now: ClockTime, service: &ServiceName) -> &mut DemandMeter {
-        if !self.own.contains_key(service) {
-            self.own.insert(service.clone(), DemandMeter::new(now));
+        if !self.local.contains_key(service) {
+            self.local.insert(service.clone(), DemandMeter::new(now));
         }
-        let meter = self.own.get_mut(service).expect("it was just inserted");
+        let meter = self.local.get_mut(service).expect("it was just inserted");
         meter.advance(now);
         meter
     }
@@ -288,16 +289,16 @@
 
 /// An average that settles with the time that was seen.
 #[derive(Clone, Copy, Debug)]
-pub struct LearntFigure {
+pub struct SmoothedEstimate {
     figure: f64,
     since: ClockTime,
     at: ClockTime,
 }
 
-impl LearntFigure {
+impl SmoothedEstimate {
     /// Begins with a guess.
-    pub fn new(now: ClockTime, guess: f64) -> LearntFigure {
-        LearntFigure {
+    pub fn new(now: ClockTime, guess: f64) -> SmoothedEstimate {
+        SmoothedEstimate {
             figure: guess,
             since: now,
             at: now,
@@ -307,7 +308,7 @@
     /// Takes the figure of now.
     pub fn note(&mut self, now: ClockTime, figure: f64) {
         let seen = now.since(self.since);
-        let over = seen.max(LEARNT_OVER.0).min(LEARNT_OVER.1);
+        let over = seen.max(SMOOTHING_TIME.0).min(SMOOTHING_TIME.1);
         let kept = kept(now.since(self.at), over);
         self.figure = averaged(self.figure, figure, kept);
         self.at = now;
--- a/crates/core/src/provision/mod.rs
+++ b/crates/core/src/provision/mod.rs
@@ -17,7 +17,7 @@
 use serde::Serialize;
 
 pub use self::{
-    demand::{DemandBoard, EngineDemand},
+    demand::{DemandTable, EngineDemand},
     stages::{StageNeeds, StagePlan},
 };
 use crate::{
@@ -52,7 +52,7 @@
 
 /// What a failure domain had when it was first seen, for a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct DomainBase {
+pub struct DomainBaseline {
     /// The service.
     pub service: ServiceName,
     /// The failure domain.
@@ -172,17 +172,17 @@
     }
 
     /// Takes over what an earlier steward saw first.
-    pub fn set_base(&mut self, base: DomainBase) {
+    pub fn set_baseline(&mut self, base: DomainBaseline) {
         let key = (base.service, base.domain);
         self.bases.entry(key).or_insert(base.endpoints);
     }
 
     /// What was seen first, to be handed on.
-    pub fn bases(&self) -> Vec<DomainBase> {
+    pub fn baselines(&self) -> Vec<DomainBaseline> {
         let bases = self
             .bases
             .iter()
-            .map(|((service, domain), endpoints)| DomainBase {
+            .map(|((service, domain), endpoints)| DomainBaseline {
                 service: service.clone(),
                 domain: domain.clone(),
                 endpoints: *endpoints,
@@ -354,7 +354,7 @@
     }
 
     /// The order was given. Whether it was heard is seen by its effect alone.
-    pub fn ordered(&mut self, now: ClockTime, step: &ProvisionStep) {
+    pub fn note_ordered(&mut self, now: ClockTime, step: &ProvisionStep) {
         match step {
             ProvisionStep::Count {
                 service,
@@ -377,13 +377,18 @@
                 service, endpoint, ..
             } => {
                 let stages = self.stages.entry(service.clone()).or_default();
-                stages.ordered(now, endpoint);
+                stages.note_ordered(now, endpoint);
             }
         }
     }
 
     /// There are no preemptible endpoints to be had there at the moment.
-    pub fn unavailable(&mut self, now: ClockTime, service: &ServiceName, domain: &FailureDomain) {
+    pub fn note_unavailable(
+        &mut self,
+        now: ClockTime,
+        service: &ServiceName,
+        domain: &FailureDomain,
+    ) {
         let key = (service.clone(), domain.clone());
         self.unavailable.insert(key, now + UNAVAILABLE_FOR);
         let order = (service.clone(), domain.clone(), true);
--- a/crates/core/src/provision/stages.rs
+++ b/crates/core/src/provision/stages.rs
@@ -14,7 +14,7 @@
     directory::{EndpointRegistration, EngineStage},
     ids::{EndpointId, FailureDomain},
     ingress::EngineRule,
-    provision::{EngineDemand, ProvisionStep, demand::LearntFigure},
+    provision::{EngineDemand, ProvisionStep, demand::SmoothedEstimate},
 };
 
 /// The share of its time that an engine may prefill at most before engines that run
@@ -56,14 +56,14 @@
     /// Engines that were ordered to change, and when.
     switching: BTreeMap<EndpointId, ClockTime>,
     /// What the work needs; none as long as too little was seen.
-    learnt: Option<LearntNeeds>,
+    learnt: Option<EstimatedNeeds>,
 }
 
 /// What was needed on average.
 #[derive(Clone, Copy, Debug)]
-struct LearntNeeds {
-    prefill: LearntFigure,
-    run: LearntFigure,
+struct EstimatedNeeds {
+    prefill: SmoothedEstimate,
+    run: SmoothedEstimate,
 }
 
 /// The engines of one failure domain.
@@ -85,7 +85,7 @@
     }
 
     /// How many engines of each failure domain are to run requests.
-    pub fn planned(&self) -> &BTreeMap<FailureDomain, usize> {
+    pub fn decode_engines(&self) -> &BTreeMap<FailureDomain, usize> {
         &self.runners
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// An engine was ordered to change its stage.
-    pub fn ordered(&mut self, now: ClockTime, engine: &EndpointId) {
+    pub fn note_ordered(&mut self, now: ClockTime, engine: &EndpointId) {
         self.switching.insert(engine.clone(), now);
     }
 
@@ -158,9 +158,9 @@
         let Some(needs) = StageNeeds::new(demand, runners.count()) else {
             return;
         };
-        let learnt = self.learnt.get_or_insert_with(|| LearntNeeds {
-            prefill: LearntFigure::new(now, needs.prefill),
-            run: LearntFigure::new(now, staged.len() as f64 * FIRST_RUN_SHARE),
+        let learnt = self.learnt.get_or_insert_with(|| EstimatedNeeds {
+            prefill: SmoothedEstimate::new(now, needs.prefill),
+            run: SmoothedEstimate::new(now, staged.len() as f64 * FIRST_RUN_SHARE),
         });
         learnt.prefill.note(now, needs.prefill);
         learnt.run.note(now, needs.run);
--- a/crates/core/src/retries/arrivals.rs
+++ b/crates/core/src/retries/arrivals.rs
@@ -32,17 +32,17 @@
     }
 
     /// Whether one repeat has to be paid for before the next call.
-    pub fn must_pay(&self) -> bool {
+    pub fn needs_grant(&self) -> bool {
         self.counted > self.paid
     }
 
     /// One repeat was paid for.
-    pub fn pay(&mut self) {
+    pub fn note_grant(&mut self) {
         self.paid += 1;
     }
 
     /// A call reached an engine.
-    pub fn arrived(&mut self, arrival: EngineArrival) {
+    pub fn note_arrival(&mut self, arrival: EngineArrival) {
         let is_free = arrival == EngineArrival::PrefillDone && !self.has_prefilled;
         self.has_prefilled |= arrival == EngineArrival::PrefillDone;
         self.counted += u32::from(!is_free);
@@ -50,7 +50,7 @@
 
     /// How many repeats were paid for and not used, now that the request sends
     /// nothing more.
-    pub fn unused(&self) -> u32 {
+    pub fn unused_grants(&self) -> u32 {
         self.paid.saturating_sub(self.counted.saturating_sub(1))
     }
 }
--- a/crates/core/src/retries/mod.rs
+++ b/crates/core/src/retries/mod.rs
@@ -19,7 +19,7 @@
 
 pub use self::{
     arrivals::{EngineArrival, RequestArrivals},
-    shared::{SharedAllowance, SharedBudget},
+    shared::{RetryAllowance, SharedRetryBudget},
 };
 use crate::{
     clock::{ClockTime, TimeSpan},
@@ -63,7 +63,7 @@
 /// Whether a failed attempt may be followed by another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "snake_case")]
-pub enum RetryAnswer {
+pub enum RetryDecision {
     /// Yes, after a wait.
     Retry {
         /// How long to wait first.
@@ -127,10 +127,10 @@
         now: ClockTime,
         organisation: &OrganisationId,
         failed: u32,
-    ) -> RetryAnswer {
+    ) -> RetryDecision {
         if failed >= self.settings.attempts {
             let reason = format!("{failed} attempts failed, the most that are made");
-            return RetryAnswer::GiveUp { reason };
+            return RetryDecision::GiveUp { reason };
         }
         let earned = self.earned();
         let budget = self.refilled(now, organisation);
@@ -141,13 +141,13 @@
         budget.units = budget.units.saturating_sub(returned);
         if budget.units < RETRY_UNITS {
             let reason = format!("the retry budget of `{organisation}` is used up");
-            return RetryAnswer::GiveUp { reason };
+            return RetryDecision::GiveUp { reason };
         }
         budget.units -= RETRY_UNITS;
         let left = budget.units / RETRY_UNITS;
         let after = self.backoff(failed);
         let reason = format!("`{organisation}` has {left} more retries");
-        RetryAnswer::Retry { after, reason }
+        RetryDecision::Retry { after, reason }
     }
 
     /// Retries that the organisation could make now.
--- a/crates/core/src/retries/shared.rs
+++ b/crates/core/src/retries/shared.rs
@@ -21,7 +21,7 @@
 
 /// What operators allow.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SharedAllowance {
+pub struct RetryAllowance {
     /// Repeats for each request.
     pub share: f64,
     /// Repeats beside that in a window that this entry may use.
@@ -39,15 +39,15 @@
 
 /// The repeats of one entry, by service.
 #[derive(Clone, Debug)]
-pub struct SharedBudget {
-    allowance: SharedAllowance,
+pub struct SharedRetryBudget {
+    allowance: RetryAllowance,
     services: BTreeMap<ServiceName, VecDeque<WindowSlice>>,
 }
 
-impl SharedBudget {
+impl SharedRetryBudget {
     /// Nothing sent yet.
-    pub fn new(allowance: SharedAllowance) -> SharedBudget {
-        SharedBudget {
+    pub fn new(allowance: RetryAllowance) -> SharedRetryBudget {
+        SharedRetryBudget {
             allowance,
             services: BTreeMap::new(),
         }
@@ -64,7 +64,7 @@
     }
 
     /// Asks to send a request to the service once more; it is counted if allowed.
-    pub fn try_repeat(&mut self, now: ClockTime, service: &ServiceName) -> bool {
+    pub fn try_retry(&mut self, now: ClockTime, service: &ServiceName) -> bool {
         let allowance = self.allowance;
         self.slice(now, service);
         let Some(slices) = self.services.get(service) else {
@@ -81,7 +81,7 @@
     }
 
     /// Repeats that were allowed never left: the service has not seen them.
-    pub fn never_sent(&mut self, now: ClockTime, service: &ServiceName, repeats: u32) {
+    pub fn return_unsent(&mut self, now: ClockTime, service: &ServiceName, repeats: u32) {
         let slice = self.slice(now, service);
         slice.repeats = slice.repeats.saturating_sub(repeats);
     }
--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -41,7 +41,7 @@
     }
 
     /// A request was answered.
-    pub fn succeed(&mut self, now: ClockTime, settings: &RoutingSettings) {
+    pub fn note_success(&mut self, now: ClockTime, settings: &RoutingSettings) {
         self.failures = 0;
         if self.share(now, settings) == 100 {
             self.ejections = 0;
@@ -49,7 +49,7 @@
     }
 
     /// A request failed. Returns the length of the ejection if there is one.
-    pub fn fail(
+    pub fn note_failure(
         &mut self,
         now: ClockTime,
         settings: &RoutingSettings,
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -139,14 +139,14 @@
             if !slot.is_open() || slot.health.is_ejected(now) {
                 continue;
             }
-            load.open += 1;
+            load.available += 1;
             // Prompts leave an engine that only prefills; answers keep slots.
             if slot.entry.role == EngineRole::Prefill {
                 continue;
             }
             load.slots += self.settings.endpoint_slots;
-            load.own += slot.load.own().requests;
-            load.others += slot.load.others(now, self.settings.report_life).requests;
+            load.local += slot.load.own().requests;
+            load.remote += slot.load.others(now, self.settings.report_life).requests;
         }
         load
     }
@@ -266,10 +266,12 @@
         let slot = self.table.slot_mut(&attempt.endpoint)?;
         slot.load.ended(now, unfilled, life);
         match outcome {
-            RouteOutcome::Answered => slot.health.succeed(now, &self.settings),
+            RouteOutcome::Answered => slot.health.note_success(now, &self.settings),
             RouteOutcome::Cancelled | RouteOutcome::Refused => {}
             RouteOutcome::Failed => {
-                let span = slot.health.fail(now, &self.settings, &mut self.random)?;
+                let span = slot
+                    .health
+                    .note_failure(now, &self.settings, &mut self.random)?;
                 return Some(format!(
                     "`{}` failed and gets no work for {span}",
                     attempt.endpoint
@@ -284,11 +286,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolLoad {
     /// Endpoints that serve and stay.
-    pub open: u32,
+    pub available: u32,
     /// Requests that those run at once.
     pub slots: u32,
     /// Requests of this entry there.
-    pub own: u64,
+    pub local: u64,
     /// Requests of others there, as estimated.
-    pub others: u64,
+    pub remote: u64,
 }
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -25,12 +25,15 @@
 fn work_is_not_run_until_a_byte_may_have_left() {
     let mut attempts = attempts(WorkKind::AtMostOnce);
     assert!(is_not_run(&attempts));
-    let permit = attempts.send(&endpoint()).unwrap();
+    let permit = attempts.permit_send(&endpoint()).unwrap();
     assert!(!is_not_run(&attempts));
-    assert_eq!(attempts.send(&endpoint()), Err(SendRefusal::UnderWay));
+    assert_eq!(
+        attempts.permit_send(&endpoint()),
+        Err(SendRefusal::InProgress)
+    );
     attempts.not_sent(permit);
     assert!(is_not_run(&attempts));
-    let permit = attempts.send(&endpoint()).unwrap();
+    let permit = attempts.permit_send(&endpoint()).unwrap();
     attempts.refused_before_running(permit);
     assert!(is_not_run(&attempts));
 }
@@ -39,9 +42,9 @@
 #[test]
 fn lost_work_that_may_not_repeat_has_ended() {
     let mut attempts = attempts(WorkKind::AtMostOnce);
-    let _permit = attempts.send(&endpoint()).unwrap();
-    attempts.lost();
-    assert_eq!(attempts.send(&endpoint()), Err(SendRefusal::Ended));
+    let _permit = attempts.permit_send(&endpoint()).unwrap();
+    attempts.connection_lost();
+    assert_eq!(attempts.permit_send(&endpoint()), Err(SendRefusal::Ended));
     assert!(!is_not_run(&attempts));
 }
 
@@ -50,9 +53,9 @@
 #[test]
 fn an_old_permit_takes_nothing_back() {
     let mut attempts = attempts(WorkKind::Repeatable);
-    let old = attempts.send(&endpoint()).unwrap();
-    attempts.lost();
-    let _new = attempts.send(&endpoint()).unwrap();
+    let old = attempts.permit_send(&endpoint()).unwrap();
+    attempts.connection_lost();
+    let _new = attempts.permit_send(&endpoint()).unwrap();
     attempts.not_sent(old);
     assert!(matches!(attempts.phase(), AttemptPhase::Sent { .. }));
     assert!(!is_not_run(&attempts));
@@ -85,7 +88,7 @@
     for step in steps {
         match step {
             RandomStep::Send => {
-                if let Ok(sent) = attempts.send(&endpoint()) {
+                if let Ok(sent) = attempts.permit_send(&endpoint()) {
                     sends_after_reach += u64::from(reached);
                     permit = Some(sent);
                 }
@@ -98,12 +101,12 @@
                 }
             }
             RandomStep::Answering => {
-                attempts.answering();
+                attempts.answer_started();
                 reached |= permit.take().is_some();
             }
             RandomStep::Lost => {
                 reached |= permit.take().is_some();
-                attempts.lost();
+                attempts.connection_lost();
             }
             RandomStep::End => {
                 reached |= permit.take().is_some();
@@ -153,9 +156,9 @@
                 position.to_string()
             };
             if draw.1 > 240 {
-                let open = !answer.is_whole() && !foreign;
+                let open = !answer.is_complete() && !foreign;
                 let verdict = answer.end(request, attempt, 4);
-                assert_eq!(verdict == EndVerdict::Whole, open && next == 4);
+                assert_eq!(verdict == EndVerdict::Complete, open && next == 4);
                 continue;
             }
             let verdict = answer.token(request, attempt, position, &text);
@@ -167,7 +170,7 @@
         let expected: Vec<String> = (0..answer.tokens().len()).map(|n| n.to_string()).collect();
         assert_eq!(answer.tokens(), expected, "seed {seed}");
         assert!(
-            !answer.is_whole() || answer.tokens().len() == 4,
+            !answer.is_complete() || answer.tokens().len() == 4,
             "seed {seed}"
         );
     }
--- a/crates/core/tests/provision.rs
+++ b/crates/core/tests/provision.rs
@@ -7,7 +7,7 @@
     directory::{EndpointRegistration, EngineStage},
     ids::{EndpointId, FailureDomain, ServiceName},
     ingress::{EngineRule, ScalingRule},
-    provision::{DomainBase, EngineDemand, ProvisionPlanner, ProvisionService, ProvisionStep},
+    provision::{DomainBaseline, EngineDemand, ProvisionPlanner, ProvisionService, ProvisionStep},
     units::{ByteSize, TokenCount},
 };
 
@@ -193,7 +193,7 @@
     let mut planner = settled();
     let first = steps(&mut planner, 2_000, &fleet());
     for step in &first {
-        planner.ordered(at(2_000), step);
+        planner.note_ordered(at(2_000), step);
     }
     assert!(counts(&steps(&mut planner, 5_000, &fleet())).is_empty());
     // An order that was not heard has no effect, and comes up again.
@@ -205,7 +205,7 @@
     // A whole failure domain of preemptible engines was withdrawn, and for some
     // seconds there are no more. Asking all the time would only cost calls.
     let mut planner = settled();
-    planner.unavailable(at(2_000), &service(), &domain("a"));
+    planner.note_unavailable(at(2_000), &service(), &domain("a"));
     let now = counts(&steps(&mut planner, 2_100, &fleet()));
     assert!(now.iter().all(|(name, ..)| name != "a"));
     let later = counts(&steps(&mut planner, 5_100, &fleet()));
@@ -218,7 +218,7 @@
     // is what the failure domain is to have, also for a steward that comes later.
     let mut planner = ProvisionPlanner::new();
     for name in ["a", "b", "c"] {
-        planner.set_base(DomainBase {
+        planner.set_baseline(DomainBaseline {
             service: service(),
             domain: domain(name),
             endpoints: 4,
@@ -237,7 +237,7 @@
         counts(&steps(&mut planner, 0, &fleet)),
         [("a".to_string(), false, 4)]
     );
-    assert_eq!(planner.bases().len(), 3);
+    assert_eq!(planner.baselines().len(), 3);
 }
 
 #[test]
@@ -313,7 +313,7 @@
     let given: Vec<&ProvisionStep> = first.iter().filter(is_stage).collect();
     assert!(given.len() <= 5, "{given:?}");
     for step in given {
-        planner.ordered(at(2_000), step);
+        planner.note_ordered(at(2_000), step);
     }
     let next = steps(&mut planner, 2_300, &wrong);
     assert!(first.iter().filter(is_stage).count() + next.iter().filter(is_stage).count() <= 6);
--- a/crates/core/tests/retries.rs
+++ b/crates/core/tests/retries.rs
@@ -3,7 +3,7 @@
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
     ids::OrganisationId,
-    retries::{RetryAnswer, RetryBudget, RetrySettings},
+    retries::{RetryBudget, RetryDecision, RetrySettings},
 };
 
 fn at(millis: u64) -> ClockTime {
@@ -27,7 +27,7 @@
         let now = at(number * 10);
         budget.note_request(now, &kiosk);
         let mut failed = 1;
-        while let RetryAnswer::Retry { .. } = budget.try_retry(now, &kiosk, failed) {
+        while let RetryDecision::Retry { .. } = budget.try_retry(now, &kiosk, failed) {
             failed += 1;
             retries += 1;
         }
@@ -45,7 +45,7 @@
         budget.note_request(now, &kiosk);
         if number % 20 == 0 {
             let answer = budget.try_retry(now, &kiosk, 1);
-            assert!(matches!(answer, RetryAnswer::Retry { .. }), "{answer:?}");
+            assert!(matches!(answer, RetryDecision::Retry { .. }), "{answer:?}");
         }
     }
 }
@@ -57,19 +57,19 @@
     budget.note_request(at(0), &small);
     for _ in 0..5 {
         let answer = budget.try_retry(at(1), &small, 1);
-        assert!(matches!(answer, RetryAnswer::Retry { .. }), "{answer:?}");
+        assert!(matches!(answer, RetryDecision::Retry { .. }), "{answer:?}");
     }
     let answer = budget.try_retry(at(1), &small, 1);
-    assert!(matches!(answer, RetryAnswer::GiveUp { .. }), "{answer:?}");
+    assert!(matches!(answer, RetryDecision::GiveUp { .. }), "{answer:?}");
     assert_eq!(budget.left(at(20_000), &small), 5);
 }
 
 #[test]
 fn one_organisation_does_not_spend_anothers_budget() {
     let mut budget = RetryBudget::new(RetrySettings::default()).with_seed(1);
-    while let RetryAnswer::Retry { .. } = budget.try_retry(at(1), &organisation("a"), 1) {}
+    while let RetryDecision::Retry { .. } = budget.try_retry(at(1), &organisation("a"), 1) {}
     let answer = budget.try_retry(at(1), &organisation("b"), 1);
-    assert!(matches!(answer, RetryAnswer::Retry { .. }), "{answer:?}");
+    assert!(matches!(answer, RetryDecision::Retry { .. }), "{answer:?}");
 }
 
 #[test]
@@ -82,8 +82,8 @@
     let mut budget = RetryBudget::new(settings).with_seed(1);
     let kiosk = organisation("kiosk");
     let mut wait = |failed| match budget.try_retry(at(1), &kiosk, failed) {
-        RetryAnswer::Retry { after, .. } => after,
-        RetryAnswer::GiveUp { reason } => panic!("{reason}"),
+        RetryDecision::Retry { after, .. } => after,
+        RetryDecision::GiveUp { reason } => panic!("{reason}"),
     };
     let first: Vec<TimeSpan> = (0..20).map(|_| wait(1)).collect();
     assert!(first.iter().any(|span| *span != first[0]));
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -134,7 +134,7 @@
     let choice = router.choose(at(20), &ask(0, None)).expect("chosen");
     assert_eq!(choice.endpoint, id("e2"));
     let load = router.pool_load(at(20), &pool());
-    assert_eq!((load.open, load.slots, load.others), (2, 48, 50));
+    assert_eq!((load.available, load.slots, load.remote), (2, 48, 50));
 }
 
 /// The platform can take preemptible capacity back within seconds. A charge that
--- a/crates/entry/src/model_run/attempt.rs
+++ b/crates/entry/src/model_run/attempt.rs
@@ -19,7 +19,7 @@
         self.route = Some(routed.ticket);
         let permit = self
             .attempts
-            .send(&chosen.endpoint)
+            .permit_send(&chosen.endpoint)
             .map_err(|error| self.refusal(RefusalCode::Internal, error.to_string()))?;
         self.context.metrics.attempts.inc();
         self.tries += 1;
@@ -48,7 +48,7 @@
             }
             Err(_) => return self.after_loss(AttemptLoss::Silent(limit)).await,
         };
-        self.attempts.answering();
+        self.attempts.answer_started();
         match self.read(items).await? {
             Ok(end) => {
                 self.route_ended(RouteOutcome::Answered);
@@ -110,7 +110,7 @@
         let Some(chosen) = self.chosen.take() else {
             return Ok(AttemptEnd::GoOn);
         };
-        self.attempts.lost();
+        self.attempts.connection_lost();
         self.route_ended(RouteOutcome::Failed);
         let reason = match &loss {
             AttemptLoss::Broken(message) => message.clone(),
--- a/crates/entry/src/model_run/choice.rs
+++ b/crates/entry/src/model_run/choice.rs
@@ -104,7 +104,7 @@
         self.import = None;
         let chosen = prefill.and_then(|prefill| self.context.directory.choose(prefill));
         let Some(chosen) = chosen else { return Ok(()) };
-        let permit = self.attempts.send(&chosen.endpoint);
+        let permit = self.attempts.permit_send(&chosen.endpoint);
         let permit =
             permit.map_err(|error| self.refusal(RefusalCode::Internal, error.to_string()))?;
         let mut work = self.generate_request(&permit);
@@ -125,7 +125,7 @@
         };
         let limit = self.silence_limit().as_duration();
         let handle = tokio::time::timeout(limit, handover).await;
-        self.attempts.lost();
+        self.attempts.connection_lost();
         self.chosen = None;
         let subjects = [subjects[0].as_str(), subjects[1].as_str()];
         match handle {
--- a/crates/entry/src/model_run/items.rs
+++ b/crates/entry/src/model_run/items.rs
@@ -77,7 +77,7 @@
                     return Err(broken("the engine cancelled the answer"));
                 }
                 match self.answer.end(&request, attempt, length) {
-                    EndVerdict::Whole => Ok(Some(AnswerEnd {
+                    EndVerdict::Complete => Ok(Some(AnswerEnd {
                         finish,
                         prompt_tokens,
                         cached_tokens,
--- a/crates/entry/src/model_run/mod.rs
+++ b/crates/entry/src/model_run/mod.rs
@@ -17,7 +17,7 @@
     clock::{ClockTime, TimeSpan},
     config::WorkPriority,
     ids::{EndpointId, ModelName, OrganisationId, RequestFingerprint, ServiceName},
-    retries::RetryAnswer,
+    retries::RetryDecision,
     routing::RoutePool,
     units::TokenCount,
 };
@@ -218,7 +218,7 @@
         let Some(chosen) = self.chosen.take() else {
             return;
         };
-        if !self.answer.is_whole() {
+        if !self.answer.is_complete() {
             let _ = chosen.client.cancel(self.attempts.request()).await;
         }
     }
@@ -264,11 +264,11 @@
             .traffic
             .try_retry(&self.work.organisation, self.tries)
         {
-            RetryAnswer::Retry { after, .. } => {
+            RetryDecision::Retry { after, .. } => {
                 tokio::time::sleep(after.as_duration()).await;
                 Ok(())
             }
-            RetryAnswer::GiveUp { reason } => {
+            RetryDecision::GiveUp { reason } => {
                 let code = match self.attempts.outcome() {
                     RunOutcome::NotRun(_) => RefusalCode::NoEndpoint,
                     RunOutcome::Unknown => RefusalCode::EndpointLost,
--- a/crates/entry/src/plain_run/attempt.rs
+++ b/crates/entry/src/plain_run/attempt.rs
@@ -57,7 +57,7 @@
     pub(super) async fn attempt(&self, routed: RoutedAttempt) -> Result<CallEnd, Refusal> {
         let RoutedAttempt { chosen, ticket, .. } = routed;
         let permit = self
-            .change(|attempts| attempts.send(&chosen.endpoint))
+            .change(|attempts| attempts.permit_send(&chosen.endpoint))
             .map_err(|error| self.refusal(RefusalCode::EndpointLost, error.to_string()))?;
         self.context.metrics.attempts.inc();
         let error = match self.call(&chosen, &permit).await {
@@ -75,7 +75,7 @@
             self.change(|attempts| attempts.not_sent(permit));
             return Ok(CallEnd::Failed);
         }
-        self.change(RequestAttempts::lost);
+        self.change(RequestAttempts::connection_lost);
         let probe = self.after_loss(&chosen).await;
         if self.change(|attempts| *attempts.phase() == AttemptPhase::Done) {
             let message =
--- a/crates/entry/src/plain_run/mod.rs
+++ b/crates/entry/src/plain_run/mod.rs
@@ -17,7 +17,7 @@
     ids::{OrganisationId, RequestFingerprint, ServiceName},
     quarantine::CrashStanding,
     records::IdempotencyClaim,
-    retries::RetryAnswer,
+    retries::RetryDecision,
     routing::RoutePool,
     units::TokenCount,
 };
@@ -250,11 +250,11 @@
             .traffic
             .try_retry(&self.work.organisation, failed)
         {
-            RetryAnswer::Retry { after, .. } => {
+            RetryDecision::Retry { after, .. } => {
                 tokio::time::sleep(after.as_duration()).await;
                 Ok(())
             }
-            RetryAnswer::GiveUp { reason } => {
+            RetryDecision::GiveUp { reason } => {
                 let code = match self.change(|attempts| attempts.outcome()) {
                     RunOutcome::NotRun(_) => RefusalCode::NoEndpoint,
                     RunOutcome::Unknown => RefusalCode::EndpointLost,
--- a/crates/entry/src/traffic.rs
+++ b/crates/entry/src/traffic.rs
@@ -17,7 +17,7 @@
     },
     clock::{ClockSource, TimeSpan},
     ids::{FailureDomain, OrganisationId, RequestId},
-    retries::{RetryAnswer, RetryBudget},
+    retries::{RetryBudget, RetryDecision},
     roles::{DemandEstimator, PoolDemand},
     routing::{
         EndpointSnapshot, NoRoute, RequestRouter, RouteChoice, RouteOutcome, RoutePool,
@@ -261,7 +261,7 @@
     }
 
     /// Whether a request whose attempt number `failed` brought nothing may try again.
-    pub fn try_retry(&self, organisation: &OrganisationId, failed: u32) -> RetryAnswer {
+    pub fn try_retry(&self, organisation: &OrganisationId, failed: u32) -> RetryDecision {
         let now = self.clock.now();
         self.lock().budget.try_retry(now, organisation, failed)
     }
--- a/crates/entry/src/traffic_feed.rs
+++ b/crates/entry/src/traffic_feed.rs
@@ -123,22 +123,22 @@
     let mut state = context.traffic.lock();
     for pool in pools {
         let mut load = state.router.pool_load(now, &pool);
-        if load.open == 0 {
+        if load.available == 0 {
             // If all that serve have failed lately, the router tries them all; with
             // no slots, the pool would refuse everything until a rest is over.
             let snapshots = state.router.snapshots(now, &pool);
-            load.open = snapshots.iter().filter(|slot| slot.open).count() as u32;
+            load.available = snapshots.iter().filter(|slot| slot.open).count() as u32;
         }
         let (slots, rate, first_token) = match &pool {
             RoutePool::Model(_) => (settings.engine_slots, 8_000, settings.first_token),
             RoutePool::Plain(_) => (settings.plain_slots, 1_000, settings.plain_answer),
         };
-        let total = load.open * slots;
-        let own = u32::try_from(load.own).unwrap_or(u32::MAX);
-        let others = u32::try_from(load.others).unwrap_or(u32::MAX);
+        let total = load.available * slots;
+        let own = u32::try_from(load.local).unwrap_or(u32::MAX);
+        let others = u32::try_from(load.remote).unwrap_or(u32::MAX);
         let capacity = PoolCapacity {
             slots: PoolCapacity::shared_slots(total, entries, own, others),
-            token_rate: TokenRate::new(rate * u64::from(load.open) / u64::from(entries)),
+            token_rate: TokenRate::new(rate * u64::from(load.available) / u64::from(entries)),
             first_token,
         };
         let actions = state.queue.set_capacity(now, &pool, capacity);
--- a/crates/ingress/src/context.rs
+++ b/crates/ingress/src/context.rs
@@ -9,9 +9,9 @@
     ids::LogOffset,
     ingress::ConfigurationBelief,
     placement::{EngineBooks, ReplicaBooks},
-    provision::DemandBoard,
+    provision::DemandTable,
     relay::{AdvertisedConfiguration, DifferenceWatch},
-    retries::{SharedAllowance, SharedBudget},
+    retries::{RetryAllowance, SharedRetryBudget},
     routing::RoutingSettings,
     usage::{MeterWriter, UsageMeter},
 };
@@ -97,11 +97,11 @@
     /// The engines' queues and memories.
     pub engines: Shared<EngineBooks>,
     /// What requests ask of engines, here and at the other entries.
-    pub demands: Shared<DemandBoard>,
+    pub demands: Shared<DemandTable>,
     /// The replicas of plain services.
     pub replicas: Shared<ReplicaBooks>,
     /// The budget of repeats.
-    pub budget: Shared<SharedBudget>,
+    pub budget: Shared<SharedRetryBudget>,
     /// Counts for usage windows.
     pub meter: Shared<UsageMeter>,
     /// The other instances.
@@ -138,7 +138,7 @@
             ..RoutingSettings::default()
         };
         let bounds = settings.bounds;
-        let allowance = SharedAllowance {
+        let allowance = RetryAllowance {
             share: bounds.retry_share,
             extra: 0.0,
             window: bounds.retry_window,
@@ -158,9 +158,9 @@
             belief: Shared::new(ConfigurationBelief::new()),
             directory: Shared::new(directory),
             engines: Shared::new(EngineBooks::new(routing.clone()).with_seed(seed)),
-            demands: Shared::new(DemandBoard::new()),
+            demands: Shared::new(DemandTable::new()),
             replicas: Shared::new(ReplicaBooks::new(routing).with_seed(seed)),
-            budget: Shared::new(SharedBudget::new(allowance)),
+            budget: Shared::new(SharedRetryBudget::new(allowance)),
             meter: Shared::new(UsageMeter::new()),
             peers: Shared::new(PeerTable::new()),
             relayed: Shared::new(RelayedKnowledge::default()),
--- a/crates/ingress/src/forward/generate.rs
+++ b/crates/ingress/src/forward/generate.rs
@@ -199,13 +199,13 @@
 
     /// Pays for what the next call adds to the arrivals beyond the first.
     pub(super) fn pay_for_next(&mut self) -> Result<(), FailedTry> {
-        if !self.arrivals.must_pay() {
+        if !self.arrivals.needs_grant() {
             return Ok(());
         }
         let now = self.context.now();
         let service = &self.request.service;
-        if self.context.budget.lock().try_repeat(now, service) {
-            self.arrivals.pay();
+        if self.context.budget.lock().try_retry(now, service) {
+            self.arrivals.note_grant();
             return Ok(());
         }
         let detail = "the budget of repeats is used up";
@@ -222,7 +222,7 @@
             _ => EngineArrival::Counted,
         };
         self.asked += 1;
-        self.arrivals.arrived(arrival);
+        self.arrivals.note_arrival(arrival);
     }
 
     async fn try_once(&mut self, last_id: Option<u64>) -> Result<TryEnd, FailedTry> {
@@ -342,7 +342,7 @@
         last_id: Option<u64>,
     ) -> Result<TryEnd, FailedTry> {
         self.pay_for_next()?;
-        let Ok(permit) = self.attempts.send(&target.id) else {
+        let Ok(permit) = self.attempts.permit_send(&target.id) else {
             return Err(FailedTry::new(
                 RefusalReason::EndpointFailed,
                 "it has ended",
@@ -355,7 +355,7 @@
         self.note_sent(&end, EngineArrival::Counted);
         match end {
             AttemptEnd::Answered(answer) => {
-                self.attempts.answering();
+                self.attempts.answer_started();
                 self.answered(plan, target, answer, guard, prefill, last_id)
                     .await
             }
@@ -468,7 +468,7 @@
     /// The request may have run at `engine`, and its answer is lost.
     fn lost(&mut self, engine: &EndpointId) {
         self.runs += 1;
-        self.attempts.lost();
+        self.attempts.connection_lost();
         self.tried.push(engine.clone());
         let now = self.context.now();
         self.context.engines.lock().failed(now, engine);
@@ -528,12 +528,12 @@
 impl Drop for GenerationRun {
     /// Gives back what was paid for calls that never left, also when the caller has gone.
     fn drop(&mut self) {
-        let unused = self.arrivals.unused();
+        let unused = self.arrivals.unused_grants();
         if unused > 0 {
             let now = self.context.now();
             let service = &self.request.service;
             let mut budget = self.context.budget.lock();
-            budget.never_sent(now, service, unused);
+            budget.return_unsent(now, service, unused);
         }
     }
 }
--- a/crates/ingress/src/forward/plain.rs
+++ b/crates/ingress/src/forward/plain.rs
@@ -109,7 +109,7 @@
         if left == TimeSpan::ZERO {
             return NextStep::GiveUp(RefusalReason::TimedOut, "no time is left".to_string());
         }
-        let Ok(permit) = self.attempts.send(&target.id) else {
+        let Ok(permit) = self.attempts.permit_send(&target.id) else {
             return NextStep::GiveUp(RefusalReason::EndpointFailed, "it has ended".to_string());
         };
         self.tried.push(target.id.clone());
@@ -141,7 +141,7 @@
                 self.lost(RefusalReason::TimedOut, detail)
             }
             AttemptEnd::Answered(answer) => {
-                self.attempts.answering();
+                self.attempts.answer_started();
                 let signed = attempt::is_signed(answer.response.headers());
                 let left = self.request.time_left(self.context.now()).min(patience);
                 let whole = WholeAnswer::read(self.context, target, answer, left).await;
@@ -190,7 +190,7 @@
     /// The request may have run.
     fn lost(&mut self, reason: RefusalReason, detail: String) -> NextStep {
         self.runs += 1;
-        self.attempts.lost();
+        self.attempts.connection_lost();
         match self.request.route.work_kind() {
             WorkKind::Repeatable => NextStep::TryElsewhere(reason, detail),
             WorkKind::AtMostOnce => NextStep::GiveUp(reason, detail),
@@ -210,7 +210,7 @@
             return true;
         }
         let service = &self.request.service;
-        self.context.budget.lock().try_repeat(now, service)
+        self.context.budget.lock().try_retry(now, service)
     }
 
     fn meter(&mut self) {
--- a/crates/ingress/src/forward/stream.rs
+++ b/crates/ingress/src/forward/stream.rs
@@ -170,7 +170,7 @@
         if let Some(event_ms) = self.running.event_ms() {
             let service = &self.run.request.service;
             let mut demands = context.demands.lock();
-            demands.stream_paced(now, service, event_ms);
+            demands.note_stream_pace(now, service, event_ms);
         }
         context
             .engines
--- a/crates/ingress/src/peers/talk.rs
+++ b/crates/ingress/src/peers/talk.rs
@@ -146,7 +146,7 @@
         self.has_told_load = !loads.is_empty();
         let message = PeerMessage::new(&loads, &parts)
             .with_stages(stages.clone())
-            .with_demands(&self.context.demands.lock().own(now))
+            .with_demands(&self.context.demands.lock().local(now))
             .with_refusing(refusing.clone());
         let receivers = self.choice.everyone(now, &self.context.peers.lock());
         self.send(now, message, relay, &receivers).await;
@@ -173,7 +173,7 @@
         let message = PeerMessage::without_loads()
             .with_stages(stages)
             .with_refusing(refusing)
-            .with_domain_demands(&self.context.demands.lock().heard(now));
+            .with_domain_demands(&self.context.demands.lock().direct(now));
         self.send(now, message, None, &receivers).await;
     }
 
--- a/crates/ingress/src/steward/duty.rs
+++ b/crates/ingress/src/steward/duty.rs
@@ -205,7 +205,7 @@
             self.note_reported(UsageWindow::new(record.reported));
         }
         for base in record.bases.iter().filter_map(BaseMessage::base) {
-            self.planner.set_base(base);
+            self.planner.set_baseline(base);
         }
         self.seat.note_record(self.context.now(), offset, writer);
     }
@@ -316,7 +316,12 @@
             start: self.context.writer.start,
             frozen: frozen.clone(),
             reported: self.reported.map_or(0, UsageWindow::number),
-            bases: self.planner.bases().iter().map(BaseMessage::new).collect(),
+            bases: self
+                .planner
+                .baselines()
+                .iter()
+                .map(BaseMessage::new)
+                .collect(),
         };
         let end = self.seat.end();
         let sent = self.context.now();
--- a/crates/ingress/src/steward/provide.rs
+++ b/crates/ingress/src/steward/provide.rs
@@ -59,7 +59,7 @@
             };
             // An order without an answer may be carried out all the same, so it
             // counts as given; it comes up again if it has no effect.
-            self.planner.ordered(self.context.now(), &step);
+            self.planner.note_ordered(self.context.now(), &step);
             let mut line = LogLine::new("order")
                 .with("order", format!("{step:?}"))
                 .with("fence", grant.fence);
@@ -68,7 +68,7 @@
                 line = line
                     .with("prefill_need", format!("{:.2}", needs.prefill))
                     .with("run_need", format!("{:.2}", needs.run))
-                    .with("runners", format!("{:?}", plan.planned().values()));
+                    .with("runners", format!("{:?}", plan.decode_engines().values()));
             }
             match outcome {
                 Ok(outcome) => {
@@ -90,7 +90,7 @@
         } = step
         {
             let now = self.context.now();
-            self.planner.unavailable(now, service, domain);
+            self.planner.note_unavailable(now, service, domain);
         }
     }
 
--- a/crates/ingress/src/steward/records.rs
+++ b/crates/ingress/src/steward/records.rs
@@ -5,7 +5,7 @@
 use bluebell_adapter::store::TopicPart;
 use bluebell_core::{
     ids::{FailureDomain, InstanceId, OrganisationId, ServiceName},
-    provision::DomainBase,
+    provision::DomainBaseline,
     records::UsageWindow,
     usage::{MeterWriter, MeteredCounts},
 };
@@ -82,7 +82,7 @@
 
 impl BaseMessage {
     /// The message of a base.
-    pub fn new(base: &DomainBase) -> BaseMessage {
+    pub fn new(base: &DomainBaseline) -> BaseMessage {
         BaseMessage {
             service: base.service.to_string(),
             domain: base.domain.to_string(),
@@ -91,8 +91,8 @@
     }
 
     /// The base as the product's own type, if the names are any.
-    pub fn base(&self) -> Option<DomainBase> {
-        Some(DomainBase {
+    pub fn base(&self) -> Option<DomainBaseline> {
+        Some(DomainBaseline {
             service: ServiceName::new(self.service.as_str()).ok()?,
             domain: FailureDomain::new(self.domain.as_str()).ok()?,
             endpoints: self.endpoints,
--- a/crates/ingress/tests/peer_scale.rs
+++ b/crates/ingress/tests/peer_scale.rs
@@ -6,7 +6,7 @@
 use bluebell_core::{
     clock::ClockTime,
     ids::{FailureDomain, InstanceId, ServiceName},
-    provision::DemandBoard,
+    provision::DemandTable,
 };
 use bluebell_ingress::peers::{KnownPeer, PeerTable, ReceiverChoice};
 
@@ -20,7 +20,7 @@
     domain: FailureDomain,
     choice: ReceiverChoice,
     table: PeerTable,
-    demands: DemandBoard,
+    demands: DemandTable,
     is_alive: bool,
 }
 
@@ -69,7 +69,7 @@
                 domain: domain(port),
                 choice: ReceiverChoice::new(instance(port), domain(port)),
                 table,
-                demands: DemandBoard::new(),
+                demands: DemandTable::new(),
                 is_alive: true,
             };
             (port, entry)
@@ -89,8 +89,8 @@
                 continue;
             }
             sender.demands.prefill_sent(at(now), &service(), 80.0);
-            let own = sender.demands.own(at(now));
-            let sum = sender.demands.heard(at(now));
+            let own = sender.demands.local(at(now));
+            let sum = sender.demands.direct(at(now));
             let near = sender.choice.everyone(at(now), &sender.table);
             let speaks = sender
                 .table
@@ -130,7 +130,7 @@
         fleet.tell(now);
         now += INTERVAL;
     }
-    let mut one = DemandBoard::new();
+    let mut one = DemandTable::new();
     for step in 0..20 {
         one.prefill_sent(at(10_000 + step * INTERVAL), &service(), 80.0);
     }
--- a/crates/lab/src/brownout.rs
+++ b/crates/lab/src/brownout.rs
@@ -5,7 +5,7 @@
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
     ids::OrganisationId,
-    retries::{RetryAnswer, RetryBudget, RetrySettings},
+    retries::{RetryBudget, RetryDecision, RetrySettings},
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -121,13 +121,13 @@
             let answer = match rule {
                 RetryRule::Budget => budget.try_retry(now, &organisation, number),
                 RetryRule::Backoff => backoff.try_retry(now, &organisation, number),
-                RetryRule::AtOnce if number < 3 => RetryAnswer::Retry {
+                RetryRule::AtOnce if number < 3 => RetryDecision::Retry {
                     after: TimeSpan::ZERO,
                     reason: String::new(),
                 },
                 RetryRule::AtOnce | RetryRule::Never => continue,
             };
-            if let RetryAnswer::Retry { after, .. } = answer {
+            if let RetryDecision::Retry { after, .. } = answer {
                 let at = now + after + TimeSpan::from_millis(1);
                 due.entry(at).or_default().push(attempt.request);
             }
--- a/crates/lab/src/world/run/attempts.rs
+++ b/crates/lab/src/world/run/attempts.rs
@@ -4,7 +4,7 @@
     admission::{AdmissionAction, AdmissionRequest},
     clock::{ClockTime, TimeSpan},
     records::CapacityKind,
-    retries::RetryAnswer,
+    retries::RetryDecision,
     routing::{RouteOutcome, RouteRequest},
     units::TokenCount,
 };
@@ -153,7 +153,7 @@
         match entry.budget.try_retry(now, organisation, state.attempts) {
             // What was delivered would be the prefix of the next attempt; here
             // an answer that was cut counts as cut.
-            RetryAnswer::Retry { after, .. } if !answering => {
+            RetryDecision::Retry { after, .. } if !answering => {
                 self.steps.insert((now + after, LateStep::Retry(number)));
             }
             _ => {
--- a/crates/lab/src/world/run/periodic.rs
+++ b/crates/lab/src/world/run/periodic.rs
@@ -68,9 +68,9 @@
             }
             let load = entry.router.pool_load(now, &model_pool());
             let total = load.slots * SLOT_PERCENT / 100;
-            let (own, others) = (load.own as u32, load.others as u32);
+            let (own, others) = (load.local as u32, load.remote as u32);
             let slots = PoolCapacity::shared_slots(total, live, own, others);
-            let rate = u64::from(load.open) * 6_000 / u64::from(live);
+            let rate = u64::from(load.available) * 6_000 / u64::from(live);
             let actions = entry.set_slots(now, slots, rate);
             self.act(now, actions);
         }
