--- a/crates/core/src/routing/baselines.rs
+++ b/crates/core/src/routing/baselines.rs
@@ -1,14 +1,14 @@
-//! Plain ways to choose, which the router is measured against.
+//! Simple load-balancing policies that the router is compared with.
 //!
-//! Each is a closure from the endpoints that may run a request to the index of
-//! one, for [`crate::routing::RequestRouter::choose_by`].
+//! Each policy is a closure that takes the endpoints that may run a request and returns
+//! the index of the selected one, for [`crate::routing::RequestRouter::choose_by`].
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 use crate::routing::EndpointSnapshot;
 
-/// Any endpoint, drawn from `seed`.
+/// Selects an endpoint at random, drawn from `seed`.
 pub fn random(seed: u64) -> impl FnMut(&[EndpointSnapshot]) -> Option<usize> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     move |snapshots| match snapshots.len() {
@@ -17,7 +17,7 @@
     }
 }
 
-/// The endpoints in turn, beginning at a place drawn from `seed`.
+/// Selects the endpoints in turn, starting at an index drawn from `seed`.
 pub fn round_robin(seed: u64) -> impl FnMut(&[EndpointSnapshot]) -> Option<usize> {
     let mut turn = ChaCha8Rng::seed_from_u64(seed).random_range(0..1_000_usize);
     move |snapshots| {
@@ -26,27 +26,28 @@
     }
 }
 
-/// The endpoint where this entry has fewest requests, drawn among equals.
+/// Selects the endpoint with the fewest requests outstanding from this entry; ties are
+/// broken at random, drawn from `seed`.
 pub fn least_outstanding(seed: u64) -> impl FnMut(&[EndpointSnapshot]) -> Option<usize> {
-    least_by(seed, |snapshot| u64::from(snapshot.own_requests))
+    min_by_load(seed, |snapshot| u64::from(snapshot.own_requests))
 }
 
-/// The endpoint with fewest requests by its last report as it came, drawn among
-/// equals.
+/// Selects the endpoint whose last report states the fewest requests, without any
+/// correction; ties are broken at random, drawn from `seed`.
 pub fn least_reported(seed: u64) -> impl FnMut(&[EndpointSnapshot]) -> Option<usize> {
-    least_by(seed, |snapshot| snapshot.reported.requests)
+    min_by_load(seed, |snapshot| snapshot.reported.requests)
 }
 
-fn least_by<Load>(seed: u64, load: Load) -> impl FnMut(&[EndpointSnapshot]) -> Option<usize>
+fn min_by_load<Load>(seed: u64, load: Load) -> impl FnMut(&[EndpointSnapshot]) -> Option<usize>
 where
     Load: Fn(&EndpointSnapshot) -> u64,
 {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     move |snapshots| {
-        let least = snapshots.iter().map(&load).min()?;
-        let equal: Vec<usize> = (0..snapshots.len())
-            .filter(|index| load(&snapshots[*index]) == least)
+        let min = snapshots.iter().map(&load).min()?;
+        let ties: Vec<usize> = (0..snapshots.len())
+            .filter(|index| load(&snapshots[*index]) == min)
             .collect();
-        Some(equal[random.random_range(0..equal.len())])
+        Some(ties[random.random_range(0..ties.len())])
     }
 }
--- a/crates/core/src/routing/choice.rs
+++ b/crates/core/src/routing/choice.rs
@@ -1,4 +1,4 @@
-//! A choice: which endpoint costs a request least, and why.
+//! Selects the endpoint at which a request has the lowest cost.
 
 use crate::{
     clock::{ClockTime, TimeSpan},
@@ -11,26 +11,26 @@
     units::TokenCount,
 };
 
-/// One endpoint that could be chosen.
+/// An endpoint that may run the request.
 #[derive(Clone, Copy)]
 pub(super) struct RouteCandidate<'a> {
     pub slot: &'a EndpointSlot,
-    wait: TimeSpan,
-    /// The place in the prefix's order; the greatest comes first.
-    rendezvous: u64,
+    cost: TimeSpan,
+    /// Rendezvous score for the prefix of the request; the highest score is preferred.
+    rendezvous_score: u64,
 }
 
-/// A candidate that was chosen, and why.
+/// A selected candidate and the reason for the selection.
 struct ChosenSlot<'a> {
     slot: &'a EndpointSlot,
-    wait: TimeSpan,
+    cost: TimeSpan,
     /// Prompt tokens that the prefix cache is not expected to hold.
     uncached: TokenCount,
     reason: String,
 }
 
-/// A choice and what it is expected to cost.
-pub(super) struct WeighedChoice {
+/// A route and the prompt tokens that it is expected to prefill.
+pub(super) struct RouteDecision {
     pub choice: RouteChoice,
     pub uncached: TokenCount,
 }
@@ -39,61 +39,68 @@
     pub(super) fn decide(
         &self,
         now: ClockTime,
-        ask: &RouteRequest,
+        request: &RouteRequest,
         draws: (u64, u64),
-    ) -> Result<WeighedChoice, NoRoute> {
-        let mut candidates = self.candidates(now, ask)?;
+    ) -> Result<RouteDecision, NoRoute> {
+        let mut candidates = self.candidates(now, request)?;
         let has_role = |role| move |c: &RouteCandidate<'_>| c.slot.entry.role == role;
-        let decodes = has_role(EngineRole::Decode);
-        let mut answering: Vec<_> = candidates.iter().filter(|c| decodes(c)).copied().collect();
-        if answering.is_empty() {
-            let mixes = has_role(EngineRole::Mixed);
-            answering = candidates.iter().filter(|c| mixes(c)).copied().collect();
+        let is_decode = has_role(EngineRole::Decode);
+        let mut decode_candidates: Vec<_> = candidates
+            .iter()
+            .filter(|c| is_decode(c))
+            .copied()
+            .collect();
+        if decode_candidates.is_empty() {
+            let is_mixed = has_role(EngineRole::Mixed);
+            decode_candidates = candidates.iter().filter(|c| is_mixed(c)).copied().collect();
         }
-        candidates.retain(|c| !decodes(c));
-        let mut prompting = candidates;
-        // Whoever answers after a handover, it costs that much more than to
-        // answer where the prompt is.
-        let decode = least_loaded(ask, &answering, draws);
+        candidates.retain(|c| !is_decode(c));
+        let mut prefill_candidates = candidates;
+        // A handover adds its cost and the wait at the decode engine to what the
+        // prefill costs.
+        let decode = select_less_loaded(request, &decode_candidates, draws);
         if let Some(decode) = &decode {
-            let extra = decode.wait + self.settings.handover_cost;
-            let only_prefills =
+            let extra = decode.cost + self.settings.handover_cost;
+            let is_prefill_only =
                 |c: &&mut RouteCandidate<'_>| c.slot.entry.role == EngineRole::Prefill;
-            for candidate in prompting.iter_mut().filter(only_prefills) {
-                candidate.wait = candidate.wait + extra;
+            for candidate in prefill_candidates.iter_mut().filter(is_prefill_only) {
+                candidate.cost = candidate.cost + extra;
             }
         }
-        let first = self.pick(ask, &prompting, draws);
+        let first = self.select(request, &prefill_candidates, draws);
         match (first, decode) {
             (Some(first), Some(decode)) if first.slot.entry.role == EngineRole::Prefill => {
                 Ok(split_choice(&first, &decode))
             }
-            // An engine can do the other role's work, only slower.
+            // An engine can do the other role's work, but more slowly.
             (Some(single), _) | (None, Some(single)) => Ok(single_choice(&single)),
-            (None, None) => Err(NoRoute::NoEndpoint(ask.pool.clone())),
+            (None, None) => Err(NoRoute::NoEndpoint(request.pool.clone())),
         }
     }
 
-    /// The endpoints that may run the request. Ejected ones only if there is no
-    /// other: a picture in which all have failed is more likely our own fault.
+    /// Endpoints that may run the request. Ejected endpoints are included only if all
+    /// are ejected: when all have failed, the cause is more likely at this entry.
     pub(super) fn candidates(
         &self,
         now: ClockTime,
-        ask: &RouteRequest,
+        request: &RouteRequest,
     ) -> Result<Vec<RouteCandidate<'_>>, NoRoute> {
-        let open: Vec<&EndpointSlot> = self
+        let available: Vec<&EndpointSlot> = self
             .table
-            .pool(&ask.pool)
+            .pool(&request.pool)
             .iter()
-            .filter(|slot| slot.is_open())
+            .filter(|slot| slot.is_available())
             .collect();
-        if open.is_empty() {
-            return Err(NoRoute::NoEndpoint(ask.pool.clone()));
+        if available.is_empty() {
+            return Err(NoRoute::NoEndpoint(request.pool.clone()));
         }
-        let ready = open.len();
-        let allowed: Vec<&EndpointSlot> = open.into_iter().filter(|s| s.allows(ask)).collect();
+        let ready = available.len();
+        let allowed: Vec<&EndpointSlot> = available
+            .into_iter()
+            .filter(|s| s.accepts(request))
+            .collect();
         if allowed.is_empty() {
-            let pool = ask.pool.clone();
+            let pool = request.pool.clone();
             return Err(NoRoute::NoneAllowed { pool, ready });
         }
         let healthy = |slot: &&EndpointSlot| !slot.health.is_ejected(now);
@@ -103,78 +110,83 @@
         }
         let candidate = |slot| RouteCandidate {
             slot,
-            wait: self.cost(now, slot, ask),
-            rendezvous: ask.prefix.map_or(0, |prefix| slot.rendezvous(prefix)),
+            cost: self.cost(now, slot, request),
+            rendezvous_score: request
+                .prefix
+                .map_or(0, |prefix| slot.rendezvous_score(prefix)),
         };
         Ok(usable.into_iter().map(candidate).collect())
     }
 
-    /// The wait at an endpoint, with what its place costs: latency to another
-    /// failure domain, and reserved capacity for work that can go to the other.
-    fn cost(&self, now: ClockTime, slot: &EndpointSlot, ask: &RouteRequest) -> TimeSpan {
-        let mut wait = slot.wait(now, &self.settings);
+    /// Estimated wait at an endpoint plus the penalties for its location: the latency
+    /// to another failure domain, and the use of reserved capacity by deferrable work
+    /// that could run on preemptible capacity.
+    fn cost(&self, now: ClockTime, slot: &EndpointSlot, request: &RouteRequest) -> TimeSpan {
+        let mut cost = slot.estimated_wait(now, &self.settings);
         if slot.entry.failure_domain != self.failure_domain {
-            wait = wait + self.settings.domain_latency;
+            cost = cost + self.settings.domain_latency;
         }
-        let spares_reserved = ask.priority == WorkPriority::Deferrable
-            && ask.allows_preemptible()
+        let avoids_reserved = request.priority == WorkPriority::Deferrable
+            && request.allows_preemptible()
             && slot.entry.capacity == CapacityKind::Reserved;
-        if spares_reserved {
-            wait = wait + prefill_time(ask.prompt_tokens, &self.settings);
+        if avoids_reserved {
+            cost = cost + prefill_time(request.prompt_tokens, &self.settings);
         }
-        wait
+        cost
     }
 
-    fn pick<'a>(
+    fn select<'a>(
         &self,
-        ask: &RouteRequest,
+        request: &RouteRequest,
         candidates: &[RouteCandidate<'a>],
         draws: (u64, u64),
     ) -> Option<ChosenSlot<'a>> {
-        match ask.prefix {
-            Some(prefix) => self.by_prefix(ask, prefix, candidates),
-            None => least_loaded(ask, candidates, draws),
+        match request.prefix {
+            Some(prefix) => self.select_by_prefix(request, prefix, candidates),
+            None => select_less_loaded(request, candidates, draws),
         }
     }
 
-    /// The first in the prefix's order that costs little more than the least
-    /// costly: its wait, and the part of the prompt that its cache lacks.
-    fn by_prefix<'a>(
+    /// Selects the first endpoint in the rendezvous order of the prefix whose cost is
+    /// within the bound of the lowest cost. The cost is the wait plus the prefill of
+    /// the uncached part of the prompt.
+    fn select_by_prefix<'a>(
         &self,
-        ask: &RouteRequest,
+        request: &RouteRequest,
         prefix: u64,
         candidates: &[RouteCandidate<'a>],
     ) -> Option<ChosenSlot<'a>> {
-        let home = candidates.iter().max_by_key(|c| c.rendezvous)?;
+        let preferred = candidates.iter().max_by_key(|c| c.rendezvous_score)?;
         let uncached = |candidate: &RouteCandidate<'_>| {
-            let cached =
-                candidate.rendezvous == home.rendezvous || candidate.slot.remembers(prefix);
-            self.uncached(ask.prompt_tokens, cached)
+            let cached = candidate.rendezvous_score == preferred.rendezvous_score
+                || candidate.slot.has_recent_prefix(prefix);
+            self.uncached(request.prompt_tokens, cached)
         };
         let cost = |candidate: &RouteCandidate<'_>| {
             let miss = prefill_time(uncached(candidate), &self.settings);
-            candidate.wait + miss.times(u64::from(self.settings.miss_weight))
+            candidate.cost + miss.times(u64::from(self.settings.miss_weight))
         };
-        let least = candidates.iter().map(&cost).min()?;
-        let slack = least.as_millis() * u64::from(self.settings.load_bound) / 100;
-        let bound = least + TimeSpan::from_millis(slack) + self.settings.running_cost.times(2);
+        let min_cost = candidates.iter().map(&cost).min()?;
+        let slack = min_cost.as_millis() * u64::from(self.settings.load_bound) / 100;
+        let bound = min_cost + TimeSpan::from_millis(slack) + self.settings.running_cost.times(2);
         let within = candidates.iter().filter(|c| cost(c) <= bound);
-        let chosen = within.max_by_key(|c| c.rendezvous)?;
-        let (id, home_id) = (&chosen.slot.entry.endpoint, &home.slot.entry.endpoint);
-        let reason = match id == home_id {
+        let chosen = within.max_by_key(|c| c.rendezvous_score)?;
+        let (id, preferred_id) = (&chosen.slot.entry.endpoint, &preferred.slot.entry.endpoint);
+        let reason = match id == preferred_id {
             true => format!(
-                "`{id}` holds the prefix, cost {}, bound {bound}",
+                "`{id}` is preferred for the prefix: cost {}, bound {bound}",
                 cost(chosen)
             ),
             false => format!(
-                "`{home_id}` holds the prefix but costs {}, over {bound}; `{id}` is next, cost {}",
-                cost(home),
+                "`{preferred_id}` is preferred for the prefix but costs {}, above the bound {bound}; \
+                 `{id}` is next: cost {}",
+                cost(preferred),
                 cost(chosen)
             ),
         };
         Some(ChosenSlot {
             slot: chosen.slot,
-            wait: cost(chosen),
+            cost: cost(chosen),
             uncached: uncached(chosen),
             reason,
         })
@@ -191,9 +203,9 @@
     }
 }
 
-/// The less loaded of two that are drawn.
-fn least_loaded<'a>(
-    ask: &RouteRequest,
+/// Selects the less loaded of two endpoints given by `draws` (power of two choices).
+fn select_less_loaded<'a>(
+    request: &RouteRequest,
     candidates: &[RouteCandidate<'a>],
     draws: (u64, u64),
 ) -> Option<ChosenSlot<'a>> {
@@ -204,41 +216,41 @@
         _ => (first + 1 + draws.1 % (count - 1)) % count,
     };
     let (a, b) = (&candidates[first as usize], &candidates[second as usize]);
-    let (chosen, other) = match a.wait <= b.wait {
+    let (chosen, other) = match a.cost <= b.cost {
         true => (a, b),
         false => (b, a),
     };
     let reason = format!(
-        "`{}` waits {}, `{}` {}",
-        chosen.slot.entry.endpoint, chosen.wait, other.slot.entry.endpoint, other.wait
+        "`{}` costs {}, `{}` costs {}",
+        chosen.slot.entry.endpoint, chosen.cost, other.slot.entry.endpoint, other.cost
     );
     Some(ChosenSlot {
         slot: chosen.slot,
-        wait: chosen.wait,
-        uncached: ask.prompt_tokens,
+        cost: chosen.cost,
+        uncached: request.prompt_tokens,
         reason,
     })
 }
 
-fn single_choice(chosen: &ChosenSlot<'_>) -> WeighedChoice {
+fn single_choice(chosen: &ChosenSlot<'_>) -> RouteDecision {
     let choice = RouteChoice {
         endpoint: chosen.slot.entry.endpoint.clone(),
         prefill: None,
         reason: chosen.reason.clone(),
     };
-    WeighedChoice {
+    RouteDecision {
         choice,
         uncached: chosen.uncached,
     }
 }
 
-fn split_choice(prefill: &ChosenSlot<'_>, decode: &ChosenSlot<'_>) -> WeighedChoice {
+fn split_choice(prefill: &ChosenSlot<'_>, decode: &ChosenSlot<'_>) -> RouteDecision {
     let choice = RouteChoice {
         endpoint: decode.slot.entry.endpoint.clone(),
         prefill: Some(prefill.slot.entry.endpoint.clone()),
         reason: format!("prefill: {}; decode: {}", prefill.reason, decode.reason),
     };
-    WeighedChoice {
+    RouteDecision {
         choice,
         uncached: prefill.uncached,
     }
--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -1,11 +1,12 @@
-//! How loaded an endpoint is, from pictures of different age.
+//! Estimates the load of an endpoint from reports of different age.
 //!
-//! An endpoint reports what it had to do some time ago, in all. An entry that
-//! took the report as it is would send everything to whoever looked idle three
-//! seconds ago, and so would every other entry: the load swings between the
-//! endpoints and first tokens are late while others idle. So the entry
-//! remembers what it had outstanding when the report was measured, takes that
-//! off to learn what *others* had, and adds what it has outstanding now.
+//! An endpoint reports its total load with some delay. An entry that used the report as
+//! it is would send all requests to the endpoint that was idle three seconds ago, and
+//! so would all other entries: the load would oscillate between the endpoints, and
+//! first tokens would be late at some while others are idle. The entry therefore
+//! records its own outstanding work over time, subtracts from a report what it had
+//! outstanding when the report was measured, which leaves the work of other entries,
+//! and adds what it has outstanding now.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,15 +17,15 @@
     units::TokenCount,
 };
 
-/// The most remembered changes of what this entry has outstanding.
+/// Maximum number of recorded changes of the outstanding work of this entry.
 const HISTORY_LIMIT: usize = 512;
 
-/// What somebody has outstanding at an endpoint.
+/// Work outstanding at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutstandingWork {
-    /// Requests sent and not ended.
+    /// Number of requests that were sent and have not ended.
     pub requests: u64,
-    /// Prompt tokens of those without a first token.
+    /// Prompt tokens of those requests that have no first token yet.
     pub prefill: TokenCount,
 }
 
@@ -50,56 +51,60 @@
     work: OutstandingWork,
 }
 
-/// The load of one endpoint as this entry estimates it.
+/// Load of one endpoint as estimated by this entry.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointLoad {
-    own: OutstandingWork,
+    local: OutstandingWork,
     history: VecDeque<TimedWork>,
     peers: BTreeMap<InstanceId, TimedWork>,
     reported: ReportedLoad,
-    others_by_report: Option<TimedWork>,
+    remote_by_report: Option<TimedWork>,
 }
 
 impl EndpointLoad {
-    /// No load.
+    /// An endpoint without load.
     pub fn new() -> EndpointLoad {
         EndpointLoad::default()
     }
 
-    /// What this entry has outstanding now.
-    pub fn own(&self) -> OutstandingWork {
-        self.own
+    /// Work that this entry has outstanding now.
+    pub fn local(&self) -> OutstandingWork {
+        self.local
     }
 
-    /// The last report as it came.
+    /// Last report of the endpoint, uncorrected.
     pub fn reported(&self) -> ReportedLoad {
         self.reported
     }
 
-    /// A request was sent.
-    pub fn sent(&mut self, now: ClockTime, prompt: TokenCount, life: TimeSpan) {
-        self.own.requests += 1;
-        self.own.prefill = self.own.prefill + prompt;
-        self.remember(now, life);
+    /// Records that this entry sent a request with `prompt` tokens to prefill. History
+    /// older than `max_age` is dropped, here and in the other methods that take it.
+    pub fn note_sent(&mut self, now: ClockTime, prompt: TokenCount, max_age: TimeSpan) {
+        self.local.requests += 1;
+        self.local.prefill = self.local.prefill + prompt;
+        self.record_history(now, max_age);
     }
 
-    /// A sent request's prompt is prefilled: its first token came.
-    pub fn prefilled(&mut self, now: ClockTime, prompt: TokenCount, life: TimeSpan) {
-        self.own.prefill = self.own.prefill.less(prompt);
-        self.remember(now, life);
+    /// Records that the `prompt` tokens of a sent request are prefilled: its first
+    /// token was received.
+    pub fn note_prefilled(&mut self, now: ClockTime, prompt: TokenCount, max_age: TimeSpan) {
+        self.local.prefill = self.local.prefill.less(prompt);
+        self.record_history(now, max_age);
     }
 
-    /// A sent request ended; `unfilled` of its prompt was not prefilled.
-    pub fn ended(&mut self, now: ClockTime, unfilled: TokenCount, life: TimeSpan) {
-        self.own.requests = self.own.requests.saturating_sub(1);
-        self.own.prefill = self.own.prefill.less(unfilled);
-        self.remember(now, life);
+    /// Records that a sent request ended, with `unprefilled` tokens of its prompt not
+    /// prefilled.
+    pub fn note_ended(&mut self, now: ClockTime, unprefilled: TokenCount, max_age: TimeSpan) {
+        self.local.requests = self.local.requests.saturating_sub(1);
+        self.local.prefill = self.local.prefill.less(unprefilled);
+        self.record_history(now, max_age);
     }
 
-    /// Takes in a report that was measured at `measured_at`, on our clock.
-    pub fn report(&mut self, measured_at: ClockTime, reported: ReportedLoad) {
-        let newer = |known: TimedWork| known.at > measured_at;
-        if self.others_by_report.is_some_and(newer) {
+    /// Records the endpoint's report that was measured at `measured_at` on the clock of
+    /// this entry. A report older than the recorded one is ignored.
+    pub fn note_report(&mut self, measured_at: ClockTime, reported: ReportedLoad) {
+        let is_newer = |known: TimedWork| known.at > measured_at;
+        if self.remote_by_report.is_some_and(is_newer) {
             return;
         }
         let all = OutstandingWork {
@@ -107,41 +112,41 @@
             prefill: reported.prefill_backlog,
         };
         self.reported = reported;
-        self.others_by_report = Some(TimedWork {
+        self.remote_by_report = Some(TimedWork {
             at: measured_at,
-            work: all.less(self.own_at(measured_at)),
+            work: all.less(self.local_at(measured_at)),
         });
     }
 
-    /// Takes in what a peer has outstanding here.
+    /// Records the work that a peer has outstanding at the endpoint.
     pub fn note_peer(&mut self, now: ClockTime, peer: &InstanceId, work: OutstandingWork) {
         let timed = TimedWork { at: now, work };
         self.peers.insert(peer.clone(), timed);
     }
 
-    /// Forgets a peer's word.
-    pub fn forget_peer(&mut self, peer: &InstanceId) {
+    /// Removes the work recorded for a peer.
+    pub fn remove_peer(&mut self, peer: &InstanceId) {
         self.peers.remove(peer);
     }
 
-    /// What others have outstanding here. The peers' word is preferred where it
-    /// is newer than the endpoint's report; what is older than `life` is unknown
-    /// and counts as nothing.
-    pub fn others(&self, now: ClockTime, life: TimeSpan) -> OutstandingWork {
-        let fresh = |timed: &&TimedWork| now.since(timed.at) <= life;
-        let peers = self.peers.values().filter(fresh);
+    /// Work that other entries have outstanding here, from the newer of the reports of
+    /// the peers and the report of the endpoint. Reports older than `max_age` are
+    /// ignored.
+    pub fn remote(&self, now: ClockTime, max_age: TimeSpan) -> OutstandingWork {
+        let is_fresh = |timed: &&TimedWork| now.since(timed.at) <= max_age;
+        let peers = self.peers.values().filter(is_fresh);
         let (mut sum, mut newest) = (OutstandingWork::default(), None);
         for timed in peers {
             sum = sum.plus(timed.work);
             newest = newest.max(Some(timed.at));
         }
-        match self.others_by_report.as_ref().filter(fresh) {
+        match self.remote_by_report.as_ref().filter(is_fresh) {
             Some(report) if Some(report.at) >= newest => report.work,
             _ => sum,
         }
     }
 
-    fn own_at(&self, at: ClockTime) -> OutstandingWork {
+    fn local_at(&self, at: ClockTime) -> OutstandingWork {
         let later = self.history.partition_point(|timed| timed.at <= at);
         match later.checked_sub(1) {
             Some(index) => self.history[index].work,
@@ -149,14 +154,14 @@
         }
     }
 
-    fn remember(&mut self, now: ClockTime, life: TimeSpan) {
-        let work = self.own;
+    fn record_history(&mut self, now: ClockTime, max_age: TimeSpan) {
+        let work = self.local;
         match self.history.back_mut() {
             Some(last) if last.at == now => last.work = work,
             _ => self.history.push_back(TimedWork { at: now, work }),
         }
         while self.history.len() > 1
-            && (self.history.len() > HISTORY_LIMIT || now.since(self.history[1].at) > life)
+            && (self.history.len() > HISTORY_LIMIT || now.since(self.history[1].at) > max_age)
         {
             self.history.pop_front();
         }
--- a/crates/core/src/routing/messages.rs
+++ b/crates/core/src/routing/messages.rs
@@ -1,4 +1,4 @@
-//! What the routing slice is told and what it answers.
+//! Inputs and results of request routing.
 
 use std::fmt;
 
@@ -13,23 +13,23 @@
     units::{TokenCount, TokenRate},
 };
 
-/// How many bytes at the start of a prompt decide its affinity.
+/// Length of the prompt prefix, in bytes, whose digest identifies a cached prefix.
 pub const PREFIX_BYTES: usize = 512;
 
-/// The digest of a prompt's start: prompts with the same start share an engine's
-/// prefix cache.
+/// Digest of the first [`PREFIX_BYTES`] bytes of a prompt. Prompts with the same digest
+/// benefit from the same prefix cache of an engine.
 pub fn prefix_digest(prompt: &str) -> u64 {
     let bytes = prompt.as_bytes();
     xxh3_64(&bytes[..bytes.len().min(PREFIX_BYTES)])
 }
 
-/// Endpoints that can do the same work.
+/// A group of endpoints that can run the same requests.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RoutePool {
-    /// The engines that have loaded a model.
+    /// Engines that have loaded a model.
     Model(ModelName),
-    /// The replicas of a plain service.
+    /// Replicas of a plain service.
     Plain(ServiceName),
 }
 
@@ -42,39 +42,43 @@
     }
 }
 
-/// How an entry routes.
+/// Settings of the request routing of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RoutingSettings {
-    /// By how many percent an endpoint may cost more than the least costly one
-    /// before a prefix goes to the next one in its order.
+    /// By how many percent the cost at an endpoint may exceed the lowest cost before a
+    /// request goes to the next endpoint in the rendezvous order of its prefix.
     pub load_bound: u32,
-    /// Percent of a prompt that a prefix cache saves.
+    /// Part of a prompt that the prefix cache is expected to hold, in percent.
     pub cached_percent: u32,
-    /// How many times the prefill of what a cache lacks counts: it keeps others
-    /// waiting, too, and evicts what others need.
+    /// Weight of the prefill of the uncached part of a prompt. It is above 1 because
+    /// this prefill also delays other requests and evicts cached prefixes that they
+    /// need.
     pub miss_weight: u32,
-    /// Prompt tokens that an engine prefills in a second.
+    /// Prompt tokens that an engine prefills per second.
     pub prefill_rate: TokenRate,
-    /// What a running request adds to another's wait for its first token.
+    /// Time that each running request adds to the wait of another for its first token.
     pub running_cost: TimeSpan,
-    /// Requests that an endpoint runs at once; more wait for one to end.
+    /// Requests that an endpoint runs at the same time; further requests wait until one
+    /// ends.
     pub endpoint_slots: u32,
-    /// What each request beyond the slots adds to another's wait.
+    /// Time that each request beyond the slots adds to the wait of another.
     pub overflow_cost: TimeSpan,
-    /// What an endpoint of another failure domain costs in latency.
+    /// Additional latency of an endpoint in another failure domain.
     pub domain_latency: TimeSpan,
-    /// What it costs to hand a prompt's KV cache over.
+    /// Time that the handover of a prompt's KV cache takes.
     pub handover_cost: TimeSpan,
-    /// Failures in a row that eject an endpoint.
+    /// Number of consecutive failures after which an endpoint is ejected.
     pub eject_after: u32,
-    /// How long the first ejection lasts; each next one lasts twice as long.
+    /// Duration of the first ejection; each further ejection lasts twice as long as the
+    /// one before.
     pub eject_first: TimeSpan,
-    /// The longest ejection.
+    /// Maximum duration of an ejection, without jitter.
     pub eject_most: TimeSpan,
-    /// How long a new or returning endpoint takes to get its full share.
+    /// Duration of the slow start: the time until a new or returning endpoint gets its
+    /// full share of the load.
     pub slow_start: TimeSpan,
-    /// How long a peer's word and an endpoint's report count.
+    /// How long the reports of peers and endpoints are valid.
     pub report_life: TimeSpan,
 }
 
@@ -99,144 +103,150 @@
     }
 }
 
-/// An endpoint as the entry knows it from the platform's list and the log.
+/// An endpoint as known from the platform's list and the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointEntry {
-    /// Which.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// What it can do.
+    /// The pool that it belongs to.
     pub pool: RoutePool,
-    /// Where.
+    /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// On what it runs.
+    /// The kind of capacity that it runs on.
     pub capacity: CapacityKind,
-    /// What it does for its model; mixed for plain services.
+    /// Its role for the model; [`EngineRole::Mixed`] for plain services.
     pub role: EngineRole,
-    /// Whether it serves.
+    /// Whether the endpoint is ready to serve.
     pub ready: bool,
-    /// Whether it is about to leave: reclaimed, marked or changing.
+    /// Whether the endpoint is about to stop: it is reclaimed, drains, or changes its
+    /// role or model.
     pub leaving: bool,
 }
 
-/// A request to route.
+/// A request that has to be routed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteRequest {
     /// The request.
     pub request: RequestId,
-    /// What can run it.
+    /// The pool whose endpoints can run it.
     pub pool: RoutePool,
-    /// The digest of its prompt's start, if it has one.
+    /// Digest of its prompt prefix, if it has a prompt; see [`prefix_digest`].
     pub prefix: Option<u64>,
-    /// The prompt's length.
+    /// Length of its prompt, in tokens.
     pub prompt_tokens: TokenCount,
-    /// Whether somebody waits.
+    /// Whether a caller waits for the answer (interactive) or not (deferrable).
     pub priority: WorkPriority,
-    /// Whether it may run more than once. Work that may not never runs on
-    /// preemptible capacity.
+    /// Whether it may run more than once. A request that must not be repeated never
+    /// runs on preemptible capacity.
     pub repeatable: bool,
     /// Whether its service may run on preemptible capacity.
     pub preemptible: bool,
-    /// Endpoints that earlier attempts failed on.
+    /// Endpoints on which earlier attempts of the request failed.
     pub excluded: Vec<EndpointId>,
 }
 
 impl RouteRequest {
-    /// Whether it may run on capacity that can be reclaimed.
+    /// Whether the request may run on preemptible capacity.
     pub fn allows_preemptible(&self) -> bool {
         self.repeatable && self.preemptible
     }
 }
 
-/// Where a request goes.
+/// The endpoints selected for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteChoice {
-    /// The endpoint that answers.
+    /// The endpoint that generates the answer.
     pub endpoint: EndpointId,
-    /// The engine that prefills the prompt first and hands its KV cache over.
+    /// The engine that prefills the prompt first and hands over its KV cache; `None` if
+    /// the answering endpoint prefills itself.
     pub prefill: Option<EndpointId>,
-    /// Why, for the journal.
+    /// Reason for the selection, for the log.
     pub reason: String,
 }
 
-/// Why a request can't be routed. Nothing was sent.
+/// The reason why a request cannot be routed. Nothing was sent.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NoRoute {
-    /// The pool has no endpoint that serves.
+    /// The pool has no endpoint that is ready and stays.
     #[error("no endpoint of `{0}` is ready")]
     NoEndpoint(RoutePool),
-    /// All that serve run on preemptible capacity, or were tried already.
+    /// All ready endpoints run on preemptible capacity or were tried already.
     #[error("none of the {ready} ready endpoints of `{pool}` may run this work")]
     NoneAllowed {
         /// The pool.
         pool: RoutePool,
-        /// How many serve.
+        /// Number of ready endpoints in the pool.
         ready: usize,
     },
 }
 
-/// How an attempt at an endpoint ended.
+/// Result of an attempt at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteOutcome {
-    /// The endpoint answered, with whatever status.
+    /// The endpoint answered, with any status.
     Answered,
-    /// The caller went away; this says nothing of the endpoint.
+    /// The caller cancelled the request; this says nothing about the health of the
+    /// endpoint.
     Cancelled,
-    /// The endpoint refused before running, for instance because it drains.
+    /// The endpoint refused the request before it ran, for instance because the
+    /// endpoint drains.
     Refused,
-    /// The connection failed, or the endpoint was silent for too long.
+    /// The connection failed, or the endpoint did not answer in time.
     Failed,
 }
 
-/// An endpoint's own report of its load.
+/// Load that an endpoint reports for itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReportedLoad {
-    /// Requests waiting or running.
+    /// Number of requests that wait or run.
     pub requests: u64,
-    /// Prompt tokens not yet prefilled.
+    /// Prompt tokens that are not prefilled yet.
     pub prefill_backlog: TokenCount,
 }
 
-/// What one entry has outstanding at an endpoint, told to its peers.
+/// Work that one entry has outstanding at an endpoint, as reported to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerOutstanding {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Requests sent and not ended.
+    /// Number of requests that were sent and have not ended.
     pub requests: u32,
-    /// Prompt tokens of those that have no first token yet.
+    /// Prompt tokens of those requests that have no first token yet.
     pub prefill_tokens: TokenCount,
 }
 
-/// An endpoint as a choice sees it; what the baselines are given, too.
+/// State of an endpoint that the selection is based on; also the input of the
+/// [`baselines`](crate::routing::baselines).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointSnapshot {
-    /// Which.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// Where.
+    /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// On what it runs.
+    /// The kind of capacity that it runs on.
     pub capacity: CapacityKind,
     /// Its role.
     pub role: EngineRole,
-    /// Whether it serves and stays.
+    /// Whether the endpoint is ready and not about to stop.
     pub open: bool,
-    /// Until when it is left alone after failures.
+    /// End of the ejection, if the endpoint is ejected.
     pub ejected_until: Option<ClockTime>,
-    /// Percent of its full share that it gets while it starts slowly.
+    /// Share of the full load that it gets now, in percent; below 100 during the slow
+    /// start.
     pub share: u32,
-    /// What this entry has outstanding there.
+    /// Requests that this entry has outstanding there.
     pub own_requests: u32,
-    /// What this entry has outstanding there that is not prefilled.
+    /// Prompt tokens of this entry there that are not prefilled.
     pub own_prefill: TokenCount,
-    /// What others have outstanding there, as estimated.
+    /// Estimated requests of other entries there.
     pub other_requests: u64,
-    /// What others have outstanding there that is not prefilled, as estimated.
+    /// Estimated prompt tokens of other entries there that are not prefilled.
     pub other_prefill: TokenCount,
-    /// The last report as it came, uncorrected.
+    /// Last report of the endpoint, uncorrected.
     pub reported: ReportedLoad,
 }
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -1,24 +1,26 @@
-//! Which endpoint a request goes to.
+//! Selects the endpoint that a request is sent to.
 //!
-//! Each entry has one [`RequestRouter`]. For a request it takes, among the
-//! endpoints that may run it:
+//! Each entry has one [`RequestRouter`]. Among the endpoints that may run a request it
+//! selects:
 //!
-//! * the first in the request's *rendezvous order* (a hash of its prompt prefix
-//!   and the endpoint) whose estimated load stays within a bound of the pool's
-//!   mean, so that prompts with the same prefix meet the same prefix cache
-//!   without a popular prefix flooding one engine;
-//! * for requests without a prefix, the less loaded of two drawn by the seed:
-//!   entries with the same lagging picture must not all choose the same one.
+//! * for a request with a prompt prefix, the first endpoint in the prefix's *rendezvous
+//!   order* (by a hash of the prefix and the endpoint) whose estimated cost stays
+//!   within a bound of the lowest cost, so that prompts with the same prefix reach the
+//!   same prefix cache and a popular prefix doesn't overload one engine;
+//! * for a request without a prefix, the less loaded of two endpoints drawn at random
+//!   from the seed: entries that work with the same outdated load data must not all
+//!   select the same endpoint.
 //!
-//! An endpoint's load is what this entry has outstanding there plus what others
-//! have, by the newer of the peers' own word and the endpoint's report. A report
-//! speaks of the past, so what this entry had outstanding *then* is taken off it
-//! (see [`load`]).
+//! The load of an endpoint is the work that this entry has outstanding there plus the
+//! work of other entries, taken from the newer of the peers' own reports and the
+//! endpoint's report. An endpoint's report describes a past moment, so the work that
+//! this entry had outstanding at that moment is subtracted from it (see [`load`]).
 //!
-//! Work that may not be repeated never goes to preemptible capacity. Endpoints
-//! that fail are left alone for a growing time and come back slowly (see
-//! [`health`]). Where engines have roles, prefill and decode are chosen apart
-//! when handing the KV cache over costs less than a mixed engine's wait.
+//! Work that must not be repeated never runs on preemptible capacity. Endpoints that
+//! fail are ejected for increasing periods and return with a share of the load that
+//! grows slowly (see [`health`]). Where engines have roles, prefill and decode engines
+//! are selected separately when the KV cache handover costs less than the wait at a
+//! mixed engine.
 
 pub mod baselines;
 mod choice;
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! The router of one entry.
+//! Request routing of one entry.
 
 use std::collections::BTreeMap;
 
@@ -11,23 +11,25 @@
     records::EngineRole,
     routing::{
         EndpointEntry, EndpointSnapshot, NoRoute, PeerOutstanding, ReportedLoad, RouteChoice,
-        RouteOutcome, RoutePool, RouteRequest, RoutingSettings, choice::WeighedChoice,
+        RouteOutcome, RoutePool, RouteRequest, RoutingSettings, choice::RouteDecision,
         load::OutstandingWork, table::EndpointTable,
     },
     units::TokenCount,
 };
 
-/// An attempt that this entry has sent and that has not ended.
+/// An attempt that was sent and has not ended.
 #[derive(Clone, Debug)]
 struct SentAttempt {
     endpoint: EndpointId,
-    /// The engine that has the prompt; the answering one if they don't differ.
+    /// The engine that prefills the prompt; the same as `endpoint` if the prefill is
+    /// not separate.
     prefill: EndpointId,
-    /// What of the prompt is not prefilled.
-    unfilled: TokenCount,
+    /// Prompt tokens that are not prefilled yet.
+    unprefilled: TokenCount,
 }
 
-/// Chooses endpoints at one entry.
+/// Selects endpoints for the requests of one entry and tracks the work that it has
+/// outstanding at them.
 #[derive(Clone, Debug)]
 pub struct RequestRouter {
     pub(super) settings: RoutingSettings,
@@ -35,11 +37,11 @@
     random: ChaCha8Rng,
     pub(super) table: EndpointTable,
     sent: BTreeMap<RequestId, SentAttempt>,
-    first_learnt: Option<ClockTime>,
+    first_update_at: Option<ClockTime>,
 }
 
 impl RequestRouter {
-    /// A router of an entry in `failure_domain` that knows no endpoints.
+    /// Creates a router without endpoints for an entry in `failure_domain`.
     pub fn new(settings: RoutingSettings, failure_domain: FailureDomain) -> RequestRouter {
         RequestRouter {
             settings,
@@ -47,37 +49,38 @@
             random: ChaCha8Rng::seed_from_u64(0),
             table: EndpointTable::default(),
             sent: BTreeMap::new(),
-            first_learnt: None,
+            first_update_at: None,
         }
     }
 
-    /// Draws its choices from `seed`.
+    /// Sets the seed of the random draws.
     pub fn with_seed(mut self, seed: u64) -> RequestRouter {
         self.random = ChaCha8Rng::seed_from_u64(seed);
         self
     }
 
-    /// Adds or changes an endpoint.
+    /// Adds or updates an endpoint.
     pub fn set_endpoint(&mut self, now: ClockTime, entry: EndpointEntry) {
-        // The endpoints that a new entry finds have served others for long.
-        let first = *self.first_learnt.get_or_insert(now);
-        let slowly = now > first;
-        self.table.set(now, entry, slowly);
+        // Endpoints that a new entry finds at its start have already served other
+        // entries, so they need no slow start.
+        let first = *self.first_update_at.get_or_insert(now);
+        let slow_start = now > first;
+        self.table.set(now, entry, slow_start);
     }
 
-    /// Forgets an endpoint that is gone. Attempts there end by
-    /// [`RequestRouter::finish`] as usual.
+    /// Removes an endpoint that is no longer registered. Attempts there still end with
+    /// [`RequestRouter::finish`].
     pub fn remove_endpoint(&mut self, endpoint: &EndpointId) {
         self.table.remove(endpoint);
     }
 
-    /// The endpoints known, for comparing with the platform's list.
+    /// The known endpoints, for comparison with the platform's list.
     pub fn endpoints(&self) -> Vec<EndpointId> {
         self.table.endpoints()
     }
 
-    /// Takes in an endpoint's report, measured at `measured_at` on our clock
-    /// (the time of receipt less the age that the report states).
+    /// Records a load report of an endpoint that was measured at `measured_at` on the
+    /// clock of this entry (the time of receipt minus the age stated in the report).
     pub fn note_report(
         &mut self,
         measured_at: ClockTime,
@@ -85,12 +88,12 @@
         reported: ReportedLoad,
     ) {
         if let Some(slot) = self.table.slot_mut(endpoint) {
-            slot.load.report(measured_at, reported);
+            slot.load.note_report(measured_at, reported);
         }
     }
 
-    /// Takes in what a peer has outstanding: all of it, endpoints that are not
-    /// named have none.
+    /// Replaces the outstanding work recorded for a peer: endpoints that are not in
+    /// `outstanding` have none.
     pub fn note_peer(
         &mut self,
         now: ClockTime,
@@ -110,48 +113,50 @@
         }
     }
 
-    /// Forgets a peer that is gone.
+    /// Removes the outstanding work of a peer that is no longer registered.
     pub fn forget_peer(&mut self, peer: &InstanceId) {
         for slot in self.table.slots_mut() {
-            slot.load.forget_peer(peer);
+            slot.load.remove_peer(peer);
         }
     }
 
-    /// What this entry has outstanding, for its peers.
+    /// Work that this entry has outstanding, as reported to its peers.
     pub fn outstanding(&self) -> Vec<PeerOutstanding> {
-        let busy = self
+        let in_use = self
             .table
             .slots()
-            .filter(|slot| slot.load.own().requests > 0);
-        busy.map(|slot| PeerOutstanding {
-            endpoint: slot.entry.endpoint.clone(),
-            requests: u32::try_from(slot.load.own().requests).unwrap_or(u32::MAX),
-            prefill_tokens: slot.load.own().prefill,
-        })
-        .collect()
+            .filter(|slot| slot.load.local().requests > 0);
+        in_use
+            .map(|slot| PeerOutstanding {
+                endpoint: slot.entry.endpoint.clone(),
+                requests: u32::try_from(slot.load.local().requests).unwrap_or(u32::MAX),
+                prefill_tokens: slot.load.local().prefill,
+            })
+            .collect()
     }
 
-    /// How many endpoints of a pool serve and stay, and what others have
-    /// outstanding there: what [`crate::admission::PoolCapacity`] is made from.
+    /// Load of the available endpoints of a pool; the input of
+    /// [`crate::admission::PoolCapacity`].
     pub fn pool_load(&self, now: ClockTime, pool: &RoutePool) -> PoolLoad {
         let mut load = PoolLoad::default();
         for slot in self.table.pool(pool) {
-            if !slot.is_open() || slot.health.is_ejected(now) {
+            if !slot.is_available() || slot.health.is_ejected(now) {
                 continue;
             }
             load.available += 1;
-            // Prompts leave an engine that only prefills; answers keep slots.
+            // Requests leave an engine that only prefills after their prompts; only
+            // engines that generate answers provide slots.
             if slot.entry.role == EngineRole::Prefill {
                 continue;
             }
             load.slots += self.settings.endpoint_slots;
-            load.local += slot.load.own().requests;
-            load.remote += slot.load.others(now, self.settings.report_life).requests;
+            load.local += slot.load.local().requests;
+            load.remote += slot.load.remote(now, self.settings.report_life).requests;
         }
         load
     }
 
-    /// All endpoints of a pool as a choice sees them.
+    /// State of all endpoints of a pool, as used for the selection.
     pub fn snapshots(&self, now: ClockTime, pool: &RoutePool) -> Vec<EndpointSnapshot> {
         let slots = self.table.pool(pool).iter();
         slots
@@ -159,91 +164,97 @@
             .collect()
     }
 
-    /// Chooses where a request goes and counts it as sent there until
-    /// [`RequestRouter::finish`]. A second attempt of a request is chosen after
-    /// the first has been finished.
-    pub fn choose(&mut self, now: ClockTime, ask: &RouteRequest) -> Result<RouteChoice, NoRoute> {
+    /// Selects where a request goes and counts it as outstanding there until
+    /// [`RequestRouter::finish`] is called. Before the next attempt of the same request
+    /// is routed, the previous one must be finished.
+    pub fn choose(
+        &mut self,
+        now: ClockTime,
+        request: &RouteRequest,
+    ) -> Result<RouteChoice, NoRoute> {
         let draws = (self.random.random(), self.random.random());
-        let weighed = self.decide(now, ask, draws)?;
-        self.send(now, ask, &weighed);
-        Ok(weighed.choice)
+        let decision = self.decide(now, request, draws)?;
+        self.note_sent(now, request, &decision);
+        Ok(decision.choice)
     }
 
-    /// Lets `pick` choose among the endpoints that may run the request; what
-    /// [`baselines`](crate::routing::baselines) are measured through.
-    pub fn choose_by<Pick>(
+    /// Routes a request with the policy `select`, which returns the index of an
+    /// endpoint among those that may run the request. The
+    /// [`baselines`](crate::routing::baselines) are evaluated with it.
+    pub fn choose_by<Select>(
         &mut self,
         now: ClockTime,
-        ask: &RouteRequest,
-        pick: Pick,
+        request: &RouteRequest,
+        select: Select,
     ) -> Result<RouteChoice, NoRoute>
     where
-        Pick: FnOnce(&[EndpointSnapshot]) -> Option<usize>,
+        Select: FnOnce(&[EndpointSnapshot]) -> Option<usize>,
     {
-        let candidates = self.candidates(now, ask)?;
+        let candidates = self.candidates(now, request)?;
         let snapshots: Vec<EndpointSnapshot> = candidates
             .iter()
             .map(|candidate| candidate.slot.snapshot(now, &self.settings))
             .collect();
-        let chosen = pick(&snapshots).and_then(|index| snapshots.get(index));
+        let chosen = select(&snapshots).and_then(|index| snapshots.get(index));
         let Some(chosen) = chosen else {
-            return Err(NoRoute::NoEndpoint(ask.pool.clone()));
+            return Err(NoRoute::NoEndpoint(request.pool.clone()));
         };
         let choice = RouteChoice {
             endpoint: chosen.endpoint.clone(),
             prefill: None,
-            reason: "picked by the caller's rule".to_string(),
+            reason: "selected by a custom policy".to_string(),
         };
-        let weighed = WeighedChoice {
+        let decision = RouteDecision {
             choice,
-            uncached: ask.prompt_tokens,
+            uncached: request.prompt_tokens,
         };
-        self.send(now, ask, &weighed);
-        Ok(weighed.choice)
+        self.note_sent(now, request, &decision);
+        Ok(decision.choice)
     }
 
-    fn send(&mut self, now: ClockTime, ask: &RouteRequest, weighed: &WeighedChoice) {
-        let WeighedChoice { choice, uncached } = weighed;
+    fn note_sent(&mut self, now: ClockTime, request: &RouteRequest, decision: &RouteDecision) {
+        let RouteDecision { choice, uncached } = decision;
         let prefill = choice.prefill.as_ref().unwrap_or(&choice.endpoint).clone();
-        let life = self.settings.report_life;
+        let max_age = self.settings.report_life;
         if let Some(slot) = self.table.slot_mut(&prefill) {
-            slot.load.sent(now, *uncached, life);
-            if let Some(prefix) = ask.prefix {
-                slot.remember(prefix);
+            slot.load.note_sent(now, *uncached, max_age);
+            if let Some(prefix) = request.prefix {
+                slot.note_prefix(prefix);
             }
         }
         if prefill != choice.endpoint
             && let Some(slot) = self.table.slot_mut(&choice.endpoint)
         {
-            slot.load.sent(now, TokenCount::ZERO, life);
+            slot.load.note_sent(now, TokenCount::ZERO, max_age);
         }
         let attempt = SentAttempt {
             endpoint: choice.endpoint.clone(),
             prefill,
-            unfilled: *uncached,
+            unprefilled: *uncached,
         };
-        self.sent.insert(ask.request.clone(), attempt);
+        self.sent.insert(request.request.clone(), attempt);
     }
 
-    /// The first token came: the prompt is no longer in the way of others.
+    /// Records the first token of a request: its prompt no longer delays other
+    /// requests.
     pub fn note_first_token(&mut self, now: ClockTime, request: &RequestId) {
         let Some(attempt) = self.sent.get_mut(request) else {
             return;
         };
-        let unfilled = std::mem::take(&mut attempt.unfilled);
-        let life = self.settings.report_life;
+        let unprefilled = std::mem::take(&mut attempt.unprefilled);
+        let max_age = self.settings.report_life;
         let (prefill, split) = (attempt.prefill.clone(), attempt.prefill != attempt.endpoint);
         let Some(slot) = self.table.slot_mut(&prefill) else {
             return;
         };
-        match split && unfilled > TokenCount::ZERO {
-            true => slot.load.ended(now, unfilled, life),
-            false => slot.load.prefilled(now, unfilled, life),
+        match split && unprefilled > TokenCount::ZERO {
+            true => slot.load.note_ended(now, unprefilled, max_age),
+            false => slot.load.note_prefilled(now, unprefilled, max_age),
         }
     }
 
-    /// An attempt ended. Returns why the endpoint is left alone from now on, if
-    /// it is.
+    /// Records the end of an attempt. Returns a message if the endpoint is ejected
+    /// because of it.
     pub fn finish(
         &mut self,
         now: ClockTime,
@@ -251,29 +262,29 @@
         outcome: RouteOutcome,
     ) -> Option<String> {
         let attempt = self.sent.remove(request)?;
-        let life = self.settings.report_life;
+        let max_age = self.settings.report_life;
         let split = attempt.prefill != attempt.endpoint;
         if split
-            && attempt.unfilled > TokenCount::ZERO
+            && attempt.unprefilled > TokenCount::ZERO
             && let Some(slot) = self.table.slot_mut(&attempt.prefill)
         {
-            slot.load.ended(now, attempt.unfilled, life);
+            slot.load.note_ended(now, attempt.unprefilled, max_age);
         }
-        let unfilled = match split {
+        let unprefilled = match split {
             true => TokenCount::ZERO,
-            false => attempt.unfilled,
+            false => attempt.unprefilled,
         };
         let slot = self.table.slot_mut(&attempt.endpoint)?;
-        slot.load.ended(now, unfilled, life);
+        slot.load.note_ended(now, unprefilled, max_age);
         match outcome {
             RouteOutcome::Answered => slot.health.note_success(now, &self.settings),
             RouteOutcome::Cancelled | RouteOutcome::Refused => {}
             RouteOutcome::Failed => {
-                let span = slot
+                let ejection = slot
                     .health
                     .note_failure(now, &self.settings, &mut self.random)?;
                 return Some(format!(
-                    "`{}` failed and gets no work for {span}",
+                    "`{}` failed and is ejected for {ejection}",
                     attempt.endpoint
                 ));
             }
@@ -282,15 +293,17 @@
     }
 }
 
-/// What an entry knows of a pool as a whole.
+/// Load of a pool as estimated by one entry. Endpoints that are not ready, about to
+/// stop or ejected are left out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolLoad {
-    /// Endpoints that serve and stay.
+    /// Number of available endpoints.
     pub available: u32,
-    /// Requests that those run at once.
+    /// Number of requests that these endpoints run at the same time. Endpoints that
+    /// only prefill don't count, here and in the fields below.
     pub slots: u32,
-    /// Requests of this entry there.
+    /// Requests of this entry at these endpoints.
     pub local: u64,
-    /// Requests of others there, as estimated.
+    /// Estimated requests of other entries at these endpoints.
     pub remote: u64,
 }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Where requests go, and where they must not.
+//! Endpoint selection: prefix affinity, load estimates, exclusions and ejection.
 
 use bluebell_core::{
     clock::ClockTime,
@@ -45,7 +45,7 @@
     router
 }
 
-fn ask(number: u64, prefix: Option<u64>) -> RouteRequest {
+fn route_request(number: u64, prefix: Option<u64>) -> RouteRequest {
     RouteRequest {
         request: RequestId::new(format!("r{number}")).expect("valid"),
         pool: pool(),
@@ -63,63 +63,77 @@
 }
 
 #[test]
-fn the_same_prefix_meets_the_same_endpoint() {
+fn the_same_prefix_goes_to_the_same_endpoint() {
     let names = ["e1", "e2", "e3", "e4"];
     let mut router = router(&names);
-    let first = router.choose(at(1), &ask(0, Some(7))).expect("chosen");
+    let first = router
+        .choose(at(1), &route_request(0, Some(7)))
+        .expect("chosen");
     router.finish(at(2), &request(0), RouteOutcome::Answered);
     for number in 1..20 {
-        let choice = router.choose(at(3), &ask(number, Some(7))).expect("chosen");
+        let choice = router
+            .choose(at(3), &route_request(number, Some(7)))
+            .expect("chosen");
         assert_eq!(choice.endpoint, first.endpoint);
         router.finish(at(4), &request(number), RouteOutcome::Answered);
     }
 }
 
-/// All kiosks of a chain send the same prompt prefix at opening time. With
-/// affinity alone one engine would get all of it while the others idle.
+/// Guards against prefix affinity without a load bound: when many clients send the same
+/// prompt prefix at the same time, one engine would get all of these requests while the
+/// others are idle.
 #[test]
-fn a_popular_prefix_spills_over() {
+fn a_popular_prefix_is_spread_over_endpoints() {
     let mut router = router(&["e1", "e2", "e3", "e4"]);
     let mut chosen = std::collections::BTreeMap::new();
-    let mut most_at_forty = 0;
+    let mut max_after_forty = 0;
     for number in 0..400 {
-        let choice = router.choose(at(1), &ask(number, Some(7))).expect("chosen");
+        let choice = router
+            .choose(at(1), &route_request(number, Some(7)))
+            .expect("chosen");
         *chosen.entry(choice.endpoint).or_insert(0) += 1;
         if number == 39 {
-            most_at_forty = chosen.values().copied().max().unwrap_or(0);
+            max_after_forty = chosen.values().copied().max().unwrap_or(0);
         }
     }
-    // Half of few, as the cache is worth a wait, but an even share of many.
-    assert!(most_at_forty <= 20, "{most_at_forty}");
+    // The first requests may concentrate on up to half of their number at one endpoint,
+    // as the cache is worth some wait. Over many requests, the load has to be even.
+    assert!(max_after_forty <= 20, "{max_after_forty}");
     assert!(
         chosen.values().all(|count| (90..=110).contains(count)),
         "{chosen:?}"
     );
 }
 
-/// A chain's prefixes are spread over the engines, and load grows. An engine that
-/// looks busier than it is, as its cached prompts are counted in full, loses its
-/// prefixes to others, which then evict their own: all get slower at once.
+/// Guards against counting cached prompts in full: an engine then looks busier than it
+/// is and its prefixes move to other engines, which evict their own prefixes for them,
+/// so that all become slower. Here the prefixes are spread over the engines and the
+/// load grows.
 #[test]
-fn cached_prompts_weigh_little() {
+fn cached_prompts_count_little() {
     let mut router = router(&["e1", "e2", "e3", "e4"]);
-    let mut homes = std::collections::BTreeMap::new();
+    let mut first_endpoints = std::collections::BTreeMap::new();
     let mut moved = 0;
     for number in 0..48 {
         let prefix = number % 8;
         let choice = router
-            .choose(at(number), &ask(number, Some(prefix)))
+            .choose(at(number), &route_request(number, Some(prefix)))
             .expect("chosen");
-        let home = homes.entry(prefix).or_insert(choice.endpoint.clone());
-        moved += u32::from(*home != choice.endpoint);
+        let first_endpoint = first_endpoints
+            .entry(prefix)
+            .or_insert(choice.endpoint.clone());
+        moved += u32::from(*first_endpoint != choice.endpoint);
     }
-    assert!(moved <= 6, "{moved} of 48 left their cache");
+    assert!(
+        moved <= 6,
+        "{moved} of 48 requests moved to another endpoint"
+    );
 }
 
-/// All slots of an engine are taken, and its queue is short. The next request
-/// would wait there until an answer ends, seconds later.
+/// Guards against sending a request to an engine whose slots are all taken but whose
+/// queue is short: the request would wait there for seconds until an answer ends.
 #[test]
-fn an_endpoint_without_a_free_slot_is_passed_over() {
+fn an_endpoint_without_a_free_slot_is_not_selected() {
     let mut router = router(&["e1", "e2"]);
     let full = ReportedLoad {
         requests: 30,
@@ -131,16 +145,19 @@
     };
     router.note_report(at(10), &id("e1"), full);
     router.note_report(at(10), &id("e2"), busy);
-    let choice = router.choose(at(20), &ask(0, None)).expect("chosen");
+    let choice = router
+        .choose(at(20), &route_request(0, None))
+        .expect("chosen");
     assert_eq!(choice.endpoint, id("e2"));
     let load = router.pool_load(at(20), &pool());
     assert_eq!((load.available, load.slots, load.remote), (2, 48, 50));
 }
 
-/// The platform can take preemptible capacity back within seconds. A charge that
-/// runs there may be cut, and nobody knows whether it was made.
+/// Guards against running work that must not be repeated on preemptible capacity: the
+/// platform can reclaim it within seconds, and if a charge is interrupted, it is
+/// unknown whether it was made.
 #[test]
-fn work_that_may_not_be_repeated_never_runs_on_preemptible_capacity() {
+fn work_that_must_not_be_repeated_never_runs_on_preemptible_capacity() {
     let mut router = router(&[]);
     let cheap = EndpointEntry {
         capacity: CapacityKind::Preemptible,
@@ -153,12 +170,12 @@
         (false, false, false),
         (true, true, true),
     ] {
-        let ask = RouteRequest {
+        let route_request = RouteRequest {
             repeatable,
             preemptible,
-            ..ask(0, None)
+            ..route_request(0, None)
         };
-        let choice = router.choose(at(1), &ask);
+        let choice = router.choose(at(1), &route_request);
         assert_eq!(choice.is_ok(), allowed, "{choice:?}");
         if !allowed {
             assert!(matches!(choice, Err(NoRoute::NoneAllowed { ready: 1, .. })));
@@ -167,7 +184,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_and_one_that_was_tried_get_nothing() {
+fn draining_and_excluded_endpoints_get_no_requests() {
     let mut router = router(&["e1", "e2", "e3"]);
     let leaving = EndpointEntry {
         leaving: true,
@@ -175,44 +192,49 @@
     };
     router.set_endpoint(at(1), leaving);
     for number in 0..50 {
-        let ask = RouteRequest {
+        let route_request = RouteRequest {
             excluded: vec![id("e2")],
-            ..ask(number, Some(number))
+            ..route_request(number, Some(number))
         };
-        let choice = router.choose(at(2), &ask).expect("chosen");
+        let choice = router.choose(at(2), &route_request).expect("chosen");
         assert_eq!(choice.endpoint, id("e3"));
     }
 }
 
-/// An endpoint's report says that it was idle three seconds ago; since then this
-/// entry has sent it ten requests. Going by the report, everything would go
-/// there until the next report comes.
+/// Guards against outdated reports: an endpoint reports that it was idle, but this
+/// entry has sent it requests since. By the report alone, all requests would go there
+/// until the next report arrives.
 #[test]
 fn a_lagging_report_is_corrected_by_what_was_sent_since() {
     let mut router = router(&["e1", "e2"]);
     let idle = ReportedLoad::default();
-    let some = ReportedLoad {
+    let loaded = ReportedLoad {
         requests: 4,
         prefill_backlog: TokenCount::new(3_200),
     };
     for number in 0..20 {
         let now = at(1_000 + number);
         router.note_report(at(900), &id("e1"), idle);
-        router.note_report(at(900), &id("e2"), some);
-        router.choose(now, &ask(number, None)).expect("chosen");
+        router.note_report(at(900), &id("e2"), loaded);
+        router
+            .choose(now, &route_request(number, None))
+            .expect("chosen");
     }
     let snapshots = router.snapshots(at(1_100), &pool());
     assert_eq!(snapshots[0].own_requests, 12);
     assert_eq!(snapshots[1].own_requests, 8);
 }
 
-/// The report counts this entry's own work, too. Counting it again would make
-/// the endpoints that this entry uses look twice as busy as they are.
+/// Guards against counting local work twice: the report of an endpoint includes the
+/// work of this entry, so the endpoints that this entry uses would look twice as busy
+/// as they are.
 #[test]
-fn own_work_in_a_report_is_not_counted_twice() {
+fn local_work_in_a_report_is_not_counted_twice() {
     let mut router = router(&["e1"]);
     for number in 0..5 {
-        router.choose(at(100), &ask(number, None)).expect("chosen");
+        router
+            .choose(at(100), &route_request(number, None))
+            .expect("chosen");
     }
     let report = ReportedLoad {
         requests: 8,
@@ -224,7 +246,7 @@
 }
 
 #[test]
-fn the_newer_of_report_and_peers_counts() {
+fn the_newer_of_endpoint_and_peer_reports_is_used() {
     let mut router = router(&["e1"]);
     let report = ReportedLoad {
         requests: 9,
@@ -232,46 +254,48 @@
     };
     router.note_report(at(500), &id("e1"), report);
     let peer = InstanceId::new("peer").expect("valid");
-    let word = PeerOutstanding {
+    let peer_report = PeerOutstanding {
         endpoint: id("e1"),
         requests: 2,
         prefill_tokens: TokenCount::ZERO,
     };
-    router.note_peer(at(600), &peer, &[word]);
+    router.note_peer(at(600), &peer, &[peer_report]);
     assert_eq!(router.snapshots(at(700), &pool())[0].other_requests, 2);
     router.note_peer(at(800), &peer, &[]);
     assert_eq!(router.snapshots(at(900), &pool())[0].other_requests, 9);
 }
 
-/// An endpoint's process is gone but it is still listed. Every request that goes
-/// there costs its caller a failed attempt.
+/// Guards against routing requests to an endpoint whose process has stopped while it is
+/// still listed: each such request costs its caller a failed attempt.
 #[test]
-fn an_endpoint_that_fails_is_left_alone_and_returns_slowly() {
+fn a_failing_endpoint_is_ejected_and_returns_slowly() {
     let mut router = router(&["bad", "good"]);
-    let mut said = None;
+    let mut ejection = None;
     for number in 0..40 {
         let choice = router
-            .choose(at(number), &ask(number, None))
+            .choose(at(number), &route_request(number, None))
             .expect("chosen");
         let outcome = match choice.endpoint == id("bad") {
             true => RouteOutcome::Failed,
             false => RouteOutcome::Answered,
         };
-        said = said.or(router.finish(at(number), &request(number), outcome));
+        ejection = ejection.or(router.finish(at(number), &request(number), outcome));
     }
-    assert!(said.expect("it was ejected").contains("`bad`"));
+    assert!(ejection.expect("it was ejected").contains("`bad`"));
     for number in 50..90 {
-        let choice = router.choose(at(50), &ask(number, None)).expect("chosen");
+        let choice = router
+            .choose(at(50), &route_request(number, None))
+            .expect("chosen");
         assert_eq!(choice.endpoint, id("good"));
     }
     for number in 50..90 {
         router.finish(at(60), &request(number), RouteOutcome::Answered);
     }
-    // Back from its first ejection, it gets a few and not half.
+    // After its first ejection, it gets a few requests, but not half of them.
     let mut to_bad = 0;
     for number in 100..200 {
         let choice = router
-            .choose(at(3_000), &ask(number, None))
+            .choose(at(3_000), &route_request(number, None))
             .expect("chosen");
         to_bad += u32::from(choice.endpoint == id("bad"));
     }
@@ -279,17 +303,21 @@
 }
 
 #[test]
-fn if_all_have_failed_all_are_tried() {
+fn if_all_endpoints_are_ejected_all_are_tried() {
     let mut router = router(&["e1", "e2"]);
     for number in 0..40 {
-        router.choose(at(1), &ask(number, None)).expect("chosen");
+        router
+            .choose(at(1), &route_request(number, None))
+            .expect("chosen");
         router.finish(at(1), &request(number), RouteOutcome::Failed);
     }
-    router.choose(at(2), &ask(99, None)).expect("still chosen");
+    router
+        .choose(at(2), &route_request(99, None))
+        .expect("still chosen");
 }
 
 #[test]
-fn prefill_and_decode_are_chosen_apart_where_roles_differ() {
+fn prefill_and_decode_endpoints_are_selected_separately_by_role() {
     let mut router = router(&[]);
     for (name, role) in [("p1", EngineRole::Prefill), ("d1", EngineRole::Decode)] {
         router.set_endpoint(
@@ -300,7 +328,9 @@
             },
         );
     }
-    let choice = router.choose(at(1), &ask(0, Some(3))).expect("chosen");
+    let choice = router
+        .choose(at(1), &route_request(0, Some(3)))
+        .expect("chosen");
     assert_eq!(choice.endpoint, id("d1"));
     assert_eq!(choice.prefill, Some(id("p1")));
     router.note_first_token(at(2), &request(0));
@@ -312,13 +342,13 @@
 }
 
 #[test]
-fn the_same_seed_makes_the_same_choices() {
+fn the_same_seed_gives_the_same_choices() {
     let run = || {
         let mut router = router(&["e1", "e2", "e3"]);
         (0..100)
             .map(|number| {
                 let choice = router
-                    .choose(at(number), &ask(number, None))
+                    .choose(at(number), &route_request(number, None))
                     .expect("chosen");
                 if number % 3 == 0 {
                     router.finish(at(number), &request(number), RouteOutcome::Answered);
