--- a/crates/ingress/src/leader/task.rs
+++ b/crates/ingress/src/leader/task.rs
@@ -208,7 +208,7 @@
             self.note_reported(UsageWindow::new(record.reported));
         }
         for base in record.bases.iter().filter_map(BaseMessage::base) {
-            self.planner.set_base(base);
+            self.planner.set_baseline(base);
         }
         self.seat.note_record(self.context.now(), offset, writer);
     }
@@ -319,7 +319,12 @@
             start: self.context.writer.start,
             frozen: frozen.clone(),
             reported: self.reported.map_or(0, UsageWindow::number),
-            bases: self.planner.bases().iter().map(BaseMessage::new).collect(),
+            bases: self
+                .planner
+                .baselines()
+                .iter()
+                .map(BaseMessage::new)
+                .collect(),
         };
         let end = self.seat.end();
         let sent = self.context.now();
--- a/crates/ingress/src/peers/broadcast.rs
+++ b/crates/ingress/src/peers/broadcast.rs
@@ -147,7 +147,7 @@
         self.has_sent_load = !loads.is_empty();
         let message = PeerMessage::new(&loads, &parts)
             .with_stages(stages.clone())
-            .with_demands(&self.context.demands.lock().own(now))
+            .with_demands(&self.context.demands.lock().local(now))
             .with_refusing(refusing.clone());
         let targets = self
             .selector
@@ -183,7 +183,7 @@
         let message = PeerMessage::without_loads()
             .with_stages(stages)
             .with_refusing(refusing)
-            .with_domain_demands(&self.context.demands.lock().heard(now));
+            .with_domain_demands(&self.context.demands.lock().direct(now));
         self.send(now, message, None, &targets).await;
     }
 
