--- a/crates/ingress/src/believe/configuration.rs
+++ b/crates/ingress/src/believe/configuration.rs
@@ -114,7 +114,7 @@
 /// Everything before `end` was known as the read came back that was sent at `sent`.
 fn confirm(context: &EntryContext, sent: ClockTime, end: LogOffset) {
     context.relayed.lock().configuration_next = end;
-    let mut belief = context.belief.lock();
+    let mut belief = context.configuration.lock();
     if belief.table().is_some() {
         belief.confirm(sent);
     }
@@ -123,7 +123,7 @@
 /// The offset to follow from when the reader's adverts end. A large configuration that
 /// is in force here need not be fetched again.
 fn advertised_end(context: &EntryContext) -> Option<LogOffset> {
-    let version = context.belief.lock().version();
+    let version = context.configuration.lock().version();
     let advertised = context.relayed.lock().configuration;
     advertised.resume_offset(version)
 }
@@ -132,7 +132,7 @@
 /// same.
 pub fn confirm_advertised(context: &EntryContext) {
     let advertised = context.relayed.lock().configuration;
-    let mut belief = context.belief.lock();
+    let mut belief = context.configuration.lock();
     if belief.version() == Some(advertised.version()) {
         belief.confirm(advertised.known_at());
     }
@@ -153,13 +153,13 @@
     let (routes, services) = (configuration.routes.len(), configuration.services.len());
     let size = ByteSize::new(value.len() as u64);
     // The first version after a start is one that the others have already.
-    let previous = context.belief.lock().version();
+    let previous = context.configuration.lock().version();
     let is_newer = previous.is_some_and(|previous| previous < version);
     let is_copied = is_newer && copies::is_due(context, size);
     if is_copied {
         copies::announce(context, version);
     }
-    let accepted = context.belief.lock().offer(configuration);
+    let accepted = context.configuration.lock().offer(configuration);
     match accepted {
         AcceptedVersion::Newer => {
             context.wake.notify_waiters();
--- a/crates/ingress/src/believe/copies.rs
+++ b/crates/ingress/src/believe/copies.rs
@@ -19,8 +19,8 @@
 
 use crate::{
     believe::{READ_TIMEOUT, configuration},
+    compression::{compress, decompress},
     context::EntryContext,
-    packing::{pack, unpack},
 };
 
 const PART: TopicPart = TopicPart::first("configuration-copies");
@@ -125,7 +125,7 @@
     version: u64,
     value: &[u8],
 ) -> Result<CopyPlace, CopyError> {
-    let packed = Bytes::from(pack(value)?);
+    let packed = Bytes::from(compress(value)?);
     let copy = Bytes::from(CopyRecord { version, packed }.encode_to_vec());
     let starts = (0..copy.len()).step_by(RECORD_BYTES);
     let records: Vec<Bytes> = starts
@@ -146,7 +146,7 @@
 /// version is in force now.
 pub async fn take(context: &Arc<EntryContext>) -> bool {
     let advertised = context.relayed.lock().configuration;
-    if context.belief.lock().version() >= Some(advertised.version()) {
+    if context.configuration.lock().version() >= Some(advertised.version()) {
         return false;
     }
     let VersionSource::Copy(place) = advertised.source(context.now()) else {
@@ -156,7 +156,7 @@
         Ok(value) => {
             configuration::take(context, &value);
             configuration::confirm_advertised(context);
-            context.belief.lock().version() >= Some(advertised.version())
+            context.configuration.lock().version() >= Some(advertised.version())
         }
         Err(error) => {
             LogLine::new("configuration_copy")
@@ -190,5 +190,5 @@
     if copy.version != version {
         return Err(CopyError::OtherVersion(copy.version));
     }
-    Ok(unpack(&copy.packed, UNPACKED_LIMIT)?)
+    Ok(decompress(&copy.packed, UNPACKED_LIMIT)?)
 }
--- a/crates/ingress/src/believe/endpoints.rs
+++ b/crates/ingress/src/believe/endpoints.rs
@@ -85,7 +85,7 @@
 /// Everything that stood in the store at `sent` is known.
 fn note_whole(context: &EntryContext, sent: ClockTime) {
     let mut relayed = context.relayed.lock();
-    relayed.endpoints_known_at = relayed.endpoints_known_at.max(Some(sent));
+    relayed.endpoints_synced_at = relayed.endpoints_synced_at.max(Some(sent));
     relayed.must_resync = false;
     relayed.difference.reset();
 }
@@ -219,7 +219,7 @@
 }
 
 fn is_engine(context: &EntryContext, registration: &EndpointRegistration) -> bool {
-    let belief = context.belief.lock();
+    let belief = context.configuration.lock();
     let service = belief
         .table()
         .and_then(|table| table.service(&registration.service));
@@ -252,7 +252,7 @@
 /// Tells what was made of a registration that went, and on whose word.
 fn note_gone(context: &EntryContext, id: &EndpointId, change: DirectoryChange, source: &str) {
     let outcome = format!("{change:?}");
-    let counter = &context.metrics.registrations_gone;
+    let counter = &context.metrics.registrations_removed;
     counter.with_label_values(&[outcome.as_str()]).inc();
     let kept_for = context.directory.lock().kept_for(context.now(), id);
     let mut line = LogLine::new("endpoint")
--- a/crates/ingress/src/context.rs
+++ b/crates/ingress/src/context.rs
@@ -64,13 +64,13 @@
 
 /// What the reader of the failure domain has told, and how fresh the endpoints are.
 #[derive(Debug, Default)]
-pub struct RelayedKnowledge {
+pub struct RelayedState {
     /// The newest version of the configuration that the reader advertised.
     pub configuration: AdvertisedConfiguration,
     /// The offset that this instance reads next; older records are known.
     pub configuration_next: LogOffset,
     /// When the picture of the endpoints was last known to be whole.
-    pub endpoints_known_at: Option<ClockTime>,
+    pub endpoints_synced_at: Option<ClockTime>,
     /// Whether our picture of the endpoints differs from the reader's.
     pub difference: DifferenceWatch,
     /// Whether the endpoints have to be read whole.
@@ -91,7 +91,7 @@
     /// Control calls to engines.
     pub engine_client: EngineClient,
     /// The configuration in force.
-    pub belief: Shared<ConfigurationBelief>,
+    pub configuration: Shared<ConfigurationBelief>,
     /// The endpoints.
     pub directory: Shared<EndpointDirectory>,
     /// The engines' queues and memories.
@@ -107,11 +107,11 @@
     /// The other instances.
     pub peers: Shared<PeerTable>,
     /// What the reader of the failure domain has told.
-    pub relayed: Shared<RelayedKnowledge>,
+    pub relayed: Shared<RelayedState>,
     /// The copy of the configuration that this instance publishes for the others.
     pub published_copy: Shared<PublishedCopy>,
     /// What other entries of the failure domain counted and is not published.
-    pub told_usage: Shared<ToldUsage>,
+    pub peer_usage: Shared<ToldUsage>,
     /// Wakes the followers of the store, and the talk with other instances.
     pub wake: Notify,
     /// Connections to endpoints.
@@ -155,7 +155,7 @@
             writer,
             store,
             engine_client,
-            belief: Shared::new(ConfigurationBelief::new()),
+            configuration: Shared::new(ConfigurationBelief::new()),
             directory: Shared::new(directory),
             engines: Shared::new(EngineBooks::new(routing.clone()).with_seed(seed)),
             demands: Shared::new(DemandBoard::new()),
@@ -163,9 +163,9 @@
             budget: Shared::new(SharedBudget::new(allowance)),
             meter: Shared::new(UsageMeter::new()),
             peers: Shared::new(PeerTable::new()),
-            relayed: Shared::new(RelayedKnowledge::default()),
+            relayed: Shared::new(RelayedState::default()),
             published_copy: Shared::new(PublishedCopy::default()),
-            told_usage: Shared::new(ToldUsage::default()),
+            peer_usage: Shared::new(ToldUsage::default()),
             wake: Notify::new(),
             pools: ConnectionPools::new(),
             metrics,
@@ -183,7 +183,7 @@
     /// An entry that does not know the others yet takes nothing beside what its own
     /// requests earn: were each of many new entries to take the whole, together they
     /// would send that many times what the operators allow.
-    pub fn share_budget(&self) {
+    pub fn update_budget_share(&self) {
         let peers = self.peers.lock();
         if !peers.is_whole(self.now()) {
             return;
@@ -197,7 +197,7 @@
     }
 
     /// How old knowledge of keys may be.
-    pub fn freshness_limit(&self) -> TimeSpan {
+    pub fn max_key_age(&self) -> TimeSpan {
         self.settings.bounds.withdrawal.less(WITHDRAWAL_MARGIN)
     }
 
@@ -205,12 +205,12 @@
     /// may be decided by it any more.
     pub fn configuration_is_outdated(&self, now: ClockTime) -> bool {
         let limit = self.settings.bounds.configuration.less(TOLD_DELAY);
-        self.belief.lock().is_outdated(now, limit)
+        self.configuration.lock().is_outdated(now, limit)
     }
 
     /// Whether requests with keys may be served.
     pub fn keys_are_fresh(&self, now: ClockTime) -> bool {
-        let limit = self.freshness_limit();
-        !self.settings.bounds.fail_closed || self.belief.lock().is_fresh(now, limit)
+        let limit = self.max_key_age();
+        !self.settings.bounds.fail_closed || self.configuration.lock().is_fresh(now, limit)
     }
 }
--- a/crates/ingress/src/forward/answer.rs
+++ b/crates/ingress/src/forward/answer.rs
@@ -8,8 +8,8 @@
 use crate::{
     context::EntryContext,
     forward::attempt::{self, EndpointAnswer},
-    front::{AnswerBody, full_body},
-    hop,
+    frontend::{AnswerBody, full_body},
+    hop_headers,
 };
 
 /// The largest answer that is held as a whole; larger ones are taken for broken.
@@ -64,11 +64,11 @@
 /// The headers of an answer that go on to the caller: all but those of the
 /// connection and of the framing.
 pub fn caller_headers(headers: &HeaderMap) -> HeaderMap {
-    let named = hop::named(headers);
+    let named = hop_headers::named(headers);
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let is_named = named.iter().any(|hop| hop == name.as_str());
-        if !is_named && !hop::is_hop(name) && *name != CONTENT_LENGTH {
+        let is_named = named.iter().any(|hop_headers| hop_headers == name.as_str());
+        if !is_named && !hop_headers::is_hop(name) && *name != CONTENT_LENGTH {
             kept.append(name.clone(), value.clone());
         }
     }
--- a/crates/ingress/src/forward/attempt.rs
+++ b/crates/ingress/src/forward/attempt.rs
@@ -13,7 +13,9 @@
     header::{CONTENT_ENCODING, HeaderName, HeaderValue},
 };
 
-use crate::{context::EntryContext, forward::connection::EndpointConnection, front::CallerRequest};
+use crate::{
+    context::EntryContext, forward::connection::EndpointConnection, frontend::CallerRequest,
+};
 
 /// The beginning of an answer, with the connection that it comes on.
 #[derive(Debug)]
--- a/crates/ingress/src/forward/generate.rs
+++ b/crates/ingress/src/forward/generate.rs
@@ -26,7 +26,7 @@
         refuse, request_line,
         stream::{self, RunningStream, StreamMark},
     },
-    front::{AnswerBody, CallerRequest, DEFAULT_RETRY_AFTER, Refusal, RefusalReason},
+    frontend::{AnswerBody, CallerRequest, DEFAULT_RETRY_AFTER, Refusal, RefusalReason},
 };
 
 /// How many engines are asked at most, counting those that refused.
--- a/crates/ingress/src/forward/mod.rs
+++ b/crates/ingress/src/forward/mod.rs
@@ -20,7 +20,7 @@
 pub use self::pool::ConnectionPools;
 use crate::{
     context::EntryContext,
-    front::{AnswerBody, CallerRequest, Refusal},
+    frontend::{AnswerBody, CallerRequest, Refusal},
     time::wall_time,
 };
 
--- a/crates/ingress/src/forward/plain.rs
+++ b/crates/ingress/src/forward/plain.rs
@@ -18,7 +18,7 @@
         guards::ReplicaGuard,
         meter, refuse, request_line,
     },
-    front::{AnswerBody, CallerRequest, Refusal, RefusalReason},
+    frontend::{AnswerBody, CallerRequest, Refusal, RefusalReason},
 };
 
 /// How many replicas are asked at most, counting those that refused.
--- a/crates/ingress/src/forward/prefill.rs
+++ b/crates/ingress/src/forward/prefill.rs
@@ -18,7 +18,7 @@
         guards::PrefillGuard,
         request_line,
     },
-    front::RefusalReason,
+    frontend::RefusalReason,
 };
 
 /// How long freeing a prefilled prompt may take.
--- a/crates/ingress/src/forward/stream.rs
+++ b/crates/ingress/src/forward/stream.rs
@@ -22,7 +22,7 @@
         guards::RunGuard,
         request_line,
     },
-    front::{AnswerBody, StreamBroken, stream_body},
+    frontend::{AnswerBody, StreamBroken, stream_body},
 };
 
 /// A point of a stream.
--- a/crates/ingress/src/front/listener.rs
+++ b/crates/ingress/src/frontend/listener.rs
@@ -19,7 +19,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
-use crate::{context::EntryContext, front};
+use crate::{context::EntryContext, frontend};
 
 /// Connections that may wait to be accepted. An opening packet that finds the
 /// queue full is sent again after a second, which is all that callers wait.
@@ -52,16 +52,16 @@
 
 /// The address for callers and the connections on it.
 #[derive(Clone, Debug)]
-pub struct CallerFront {
+pub struct FrontendServer {
     context: Arc<EntryContext>,
     connections: TaskTracker,
     open: Arc<AtomicUsize>,
     closing: CancellationToken,
 }
 
-impl CallerFront {
-    /// Listens, and serves who connects until [`CallerFront::close`].
-    pub fn bind(context: Arc<EntryContext>) -> io::Result<CallerFront> {
+impl FrontendServer {
+    /// Listens, and serves who connects until [`FrontendServer::close`].
+    pub fn bind(context: Arc<EntryContext>) -> io::Result<FrontendServer> {
         let address = context.settings.callers_address;
         let socket = Socket::new(
             Domain::for_address(address),
@@ -73,14 +73,16 @@
         socket.bind(&address.into())?;
         socket.listen(ACCEPT_QUEUE)?;
         let listener = TcpListener::from_std(StdListener::from(socket))?;
-        let front = CallerFront {
+        let frontend = FrontendServer {
             context,
             connections: TaskTracker::new(),
             open: Arc::new(AtomicUsize::new(0)),
             closing: CancellationToken::new(),
         };
-        front.connections.spawn(accept(front.clone(), listener));
-        Ok(front)
+        frontend
+            .connections
+            .spawn(accept(frontend.clone(), listener));
+        Ok(frontend)
     }
 
     /// Takes no new connections, closes those without a request, and each other
@@ -101,7 +103,7 @@
     }
 
     /// Waits until no connection is left.
-    pub async fn ended(&self) {
+    pub async fn wait_closed(&self) {
         self.connections.close();
         self.connections.wait().await;
     }
@@ -113,14 +115,14 @@
 /// does. Their callers wait for an answer until the process ends, some seconds
 /// later, and get none. So those who wait are taken in, and the address is closed:
 /// who comes later is turned away at once and goes elsewhere.
-async fn accept(front: CallerFront, listener: TcpListener) {
+async fn accept(frontend: FrontendServer, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
-            () = front.closing.cancelled() => break,
+            () = frontend.closing.cancelled() => break,
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((stream, _)) => front.take(stream),
+            Ok((stream, _)) => frontend.take(stream),
             Err(error) => {
                 LogLine::new("accept_failed").with("error", error).warn();
                 // Descriptors may have run out; the next try may find some.
@@ -128,20 +130,20 @@
             }
         }
     }
-    if let Err(error) = take_waiting(&front, listener) {
+    if let Err(error) = take_waiting(&frontend, listener) {
         LogLine::new("accept_failed").with("error", error).warn();
     }
 }
 
 /// Takes the connections that the kernel holds. The runtime's listener may not have
 /// been told of them yet, so the socket is asked itself.
-fn take_waiting(front: &CallerFront, listener: TcpListener) -> io::Result<()> {
+fn take_waiting(frontend: &FrontendServer, listener: TcpListener) -> io::Result<()> {
     let listener = listener.into_std()?;
     loop {
         match listener.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(true)?;
-                front.take(TcpStream::from_std(stream)?);
+                frontend.take(TcpStream::from_std(stream)?);
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
             Err(error) => return Err(error),
@@ -149,24 +151,24 @@
     }
 }
 
-async fn serve(front: CallerFront, stream: TcpStream) {
+async fn serve(frontend: FrontendServer, stream: TcpStream) {
     if let Err(error) = prepare(&stream) {
         LogLine::new("connection_not_prepared")
             .with("error", error)
             .warn();
     }
     let limits = {
-        let belief = front.context.belief.lock();
+        let belief = frontend.context.configuration.lock();
         belief.table().map(|table| table.configuration().limits)
     };
     let idle = limits.map_or(IDLE_TIMEOUT, |limits| {
         limits.idle_timeout.max(limits.head_timeout)
     });
     let head = limits.map_or(HEAD_SLACK, |limits| limits.head.count() as usize);
-    let context = Arc::clone(&front.context);
+    let context = Arc::clone(&frontend.context);
     let service = service_fn(move |request| {
         let context = Arc::clone(&context);
-        async move { Ok::<_, Infallible>(front::answer(context, request).await) }
+        async move { Ok::<_, Infallible>(frontend::answer(context, request).await) }
     });
     // The library counts the time between requests into the time for a head, so
     // the longer of the two limits holds for both.
@@ -178,7 +180,7 @@
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = closed(&front) => {
+        () = closed(&frontend) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -186,13 +188,13 @@
     if let Err(error) = ended {
         log::debug!("event=caller_connection_ended error={error:?}");
     }
-    front.open.fetch_sub(1, Ordering::Relaxed);
+    frontend.open.fetch_sub(1, Ordering::Relaxed);
 }
 
 /// Waits until connections without a request are to be closed. One that was opened
 /// just before the front was closed has its first request on the way.
-async fn closed(front: &CallerFront) {
-    front.closing.cancelled().await;
+async fn closed(frontend: &FrontendServer) {
+    frontend.closing.cancelled().await;
     tokio::time::sleep(FIRST_REQUEST_WAIT).await;
 }
 
--- a/crates/ingress/src/front/mod.rs
+++ b/crates/ingress/src/frontend/mod.rs
@@ -17,7 +17,7 @@
 
 pub use self::{
     body::{AnswerBody, StreamBroken, empty_body, full_body, stream_body},
-    listener::CallerFront,
+    listener::FrontendServer,
     refusal::{DEFAULT_RETRY_AFTER, Refusal, RefusalReason},
     request::CallerRequest,
 };
--- a/crates/ingress/src/front/refusal.rs
+++ b/crates/ingress/src/frontend/refusal.rs
@@ -12,7 +12,7 @@
     header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER},
 };
 
-use crate::front::body::{AnswerBody, full_body};
+use crate::frontend::body::{AnswerBody, full_body};
 
 /// When a caller may come back if nothing better is known: a failed endpoint is
 /// back, or another one known, within this time more often than not.
--- a/crates/ingress/src/front/request.rs
+++ b/crates/ingress/src/frontend/request.rs
@@ -20,8 +20,8 @@
 
 use crate::{
     context::EntryContext,
-    front::refusal::{DEFAULT_RETRY_AFTER, Refusal, RefusalReason},
-    hop,
+    frontend::refusal::{DEFAULT_RETRY_AFTER, Refusal, RefusalReason},
+    hop_headers,
 };
 
 /// When a caller may come back if this entry knows nothing yet or too little.
@@ -89,7 +89,7 @@
         .to_string();
     let named = |refusal: Refusal| refusal.with_request(&id);
     let unknown = |reason| named(Refusal::before_sending(reason, KNOWLEDGE_RETRY_AFTER));
-    let table = context.belief.lock().table().cloned();
+    let table = context.configuration.lock().table().cloned();
     let table = table.ok_or_else(|| unknown(RefusalReason::NoConfiguration))?;
     if context.configuration_is_outdated(arrived) {
         return Err(unknown(RefusalReason::ConfigurationOutdated));
@@ -239,12 +239,12 @@
 /// The headers that go on: not those of the connection, not the key, not the
 /// length, which is set anew, and none that only the system may set.
 fn forwarded(received: &HeaderMap) -> HeaderMap {
-    let named = hop::named(received);
+    let named = hop_headers::named(received);
     let is_dropped = |name: &HeaderName| {
-        hop::is_hop(name)
+        hop_headers::is_hop(name)
             || FRAMING_HEADERS.contains(name)
             || headers::SYSTEM_HEADERS.contains(&name.as_str())
-            || (named.iter().any(|hop| hop == name.as_str()) && !is_needed(name))
+            || (named.iter().any(|hop_headers| hop_headers == name.as_str()) && !is_needed(name))
     };
     let mut kept = HeaderMap::with_capacity(received.len());
     for (name, value) in received {
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -1,20 +1,20 @@
 //! The program of an entry instance on the users' platform.
 //!
 //! Every instance runs one process with everything: it takes callers' requests
-//! ([`front`]), sends them to endpoints ([`forward`]), follows configuration and
+//! ([`frontend`]), sends them to endpoints ([`forward`]), follows configuration and
 //! endpoints in the store ([`believe`]), talks to the
 //! other instances ([`peers`]) and, while it holds the stewardship,
 //! reports usage and orders endpoints ([`steward`]). The decisions are slices of
 //! `bluebell-core`; names and formats of the platform are in `bluebell-adapter`.
 
 pub mod believe;
+mod compression;
 pub mod context;
 pub mod forward;
-pub mod front;
-mod hop;
+pub mod frontend;
+mod hop_headers;
 pub mod logs;
 pub mod metrics;
-mod packing;
 pub mod peers;
 pub mod program;
 pub mod ready;
--- a/crates/ingress/src/metrics.rs
+++ b/crates/ingress/src/metrics.rs
@@ -28,7 +28,7 @@
     /// The newest version that the reader of the failure domain advertised.
     pub advertised_version: IntGauge,
     /// Endpoints whose registrations went, by what was made of it.
-    pub registrations_gone: IntCounterVec,
+    pub registrations_removed: IntCounterVec,
     /// Requests under way.
     pub requests_open: IntGauge,
 }
@@ -82,7 +82,7 @@
                 "bluebell_configuration_advertised_version",
                 "newest version that the reader of the failure domain advertised",
             )?,
-            registrations_gone: counter(
+            registrations_removed: counter(
                 "bluebell_registrations_gone_total",
                 "registrations that went, by what was made of it",
                 &["outcome"],
--- a/crates/ingress/src/peers/messages.rs
+++ b/crates/ingress/src/peers/messages.rs
@@ -14,7 +14,7 @@
 use prost::Message;
 
 use crate::{
-    packing::{pack, unpack},
+    compression::{compress, decompress},
     steward::UsageRecord,
 };
 
@@ -201,7 +201,7 @@
         if self.packed_changes.is_empty() {
             return Ok(Vec::new());
         }
-        let bytes = unpack(&self.packed_changes, CHANGES_LIMIT)?;
+        let bytes = decompress(&self.packed_changes, CHANGES_LIMIT)?;
         let message = ChangesMessage::decode(&bytes[..])?;
         Ok(message.changes)
     }
@@ -212,7 +212,7 @@
     if changes.is_empty() {
         return Ok(Vec::new());
     }
-    pack(&ChangesMessage { changes }.encode_to_vec())
+    compress(&ChangesMessage { changes }.encode_to_vec())
 }
 
 /// Registrations that changed.
--- a/crates/ingress/src/peers/relay.rs
+++ b/crates/ingress/src/peers/relay.rs
@@ -33,7 +33,7 @@
     pub fn must_read_keys_by_age(&self) -> bool {
         let now = self.now();
         let limit = told_limit(self.settings.bounds.configuration);
-        !self.belief.lock().is_fresh(now, limit)
+        !self.configuration.lock().is_fresh(now, limit)
     }
 
     /// Whether configuration and keys have to be read from the store here: nobody
@@ -41,7 +41,7 @@
     /// version that can be fetched.
     pub fn must_read_keys(&self) -> bool {
         let advertised = self.relayed.lock().configuration;
-        let is_behind = self.belief.lock().version() < Some(advertised.version());
+        let is_behind = self.configuration.lock().version() < Some(advertised.version());
         let is_available = advertised.source(self.now()) != VersionSource::Awaited;
         self.must_read_keys_by_age() || (is_behind && is_available) || self.is_reader()
     }
@@ -50,7 +50,7 @@
     pub fn must_read_endpoints(&self) -> bool {
         let now = self.now();
         let relayed = self.relayed.lock();
-        let known_at = relayed.endpoints_known_at;
+        let known_at = relayed.endpoints_synced_at;
         let limit = told_limit(self.settings.bounds.leaving);
         let is_old = known_at.is_none_or(|at| now.since(at) >= limit);
         let differs = relayed.must_resync;
@@ -65,12 +65,12 @@
         return None;
     }
     let (version, keys_age) = {
-        let belief = context.belief.lock();
+        let belief = context.configuration.lock();
         (belief.version()?, belief.age(now)?)
     };
     let (endpoints_known_at, configuration_next) = {
         let relayed = context.relayed.lock();
-        (relayed.endpoints_known_at?, relayed.configuration_next)
+        (relayed.endpoints_synced_at?, relayed.configuration_next)
     };
     let digest = context.directory.lock().digest();
     let changes = context.peers.lock().take_due_changes(now);
@@ -116,7 +116,7 @@
         Err(error) => LogLine::new("relay_rejected").with("error", error).warn(),
     }
     {
-        let mut belief = context.belief.lock();
+        let mut belief = context.configuration.lock();
         belief.note_advertised(now, relay.version);
         if belief.version() == Some(relay.version) {
             belief.confirm(keys_known_at);
@@ -140,13 +140,13 @@
         relayed.must_resync = true;
         context.wake.notify_waiters();
     } else if digest == relay.digest {
-        relayed.endpoints_known_at = relayed.endpoints_known_at.max(Some(endpoints_known_at));
+        relayed.endpoints_synced_at = relayed.endpoints_synced_at.max(Some(endpoints_known_at));
     }
 }
 
 fn note_advertised_version(context: &EntryContext, peer: &InstanceId, version: u64) {
     context.metrics.advertised_version.set(version as i64);
-    let own = context.belief.lock().version();
+    let own = context.configuration.lock().version();
     if own == Some(version) {
         return;
     }
--- a/crates/ingress/src/peers/talk.rs
+++ b/crates/ingress/src/peers/talk.rs
@@ -125,7 +125,7 @@
     async fn tell(&mut self) {
         let now = self.context.now();
         self.note_silent_domains(now);
-        self.context.share_budget();
+        self.context.update_budget_share();
         let entries = self.context.peers.lock().len() + 1;
         let share = (ALL_CONSIDERED_BY / entries as f64).powi(2);
         self.context.engines.lock().set_considered(share);
--- a/crates/ingress/src/program.rs
+++ b/crates/ingress/src/program.rs
@@ -13,7 +13,7 @@
 use crate::{
     believe,
     context::EntryContext,
-    front::CallerFront,
+    frontend::FrontendServer,
     logs::{self, LogBuffer},
     metrics::EntryMetrics,
     peers, ready, steward, time,
@@ -97,8 +97,8 @@
         .await
         .context("the address for other instances can't be used")?;
     steward::start(&context, &client, &background);
-    let front =
-        CallerFront::bind(Arc::clone(&context)).context("the callers' address can't be served")?;
+    let frontend = FrontendServer::bind(Arc::clone(&context))
+        .context("the callers' address can't be served")?;
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
@@ -109,7 +109,7 @@
             }
         }
     }
-    stop(&context, &front).await;
+    stop(&context, &frontend).await;
     background.cancel();
     ready_server.stop().await;
     if let Some(server) = metrics_server {
@@ -125,7 +125,7 @@
 /// the platform still sends for two seconds, and those who come back on a kept
 /// connection; one that waited for all connections to close would be killed with
 /// requests inside.
-async fn stop(context: &EntryContext, front: &CallerFront) {
+async fn stop(context: &EntryContext, frontend: &FrontendServer) {
     LogLine::new("stopping")
         .with("open", context.metrics.requests_open.get())
         .info();
@@ -133,8 +133,8 @@
     let grace = context.settings.bounds.grace.as_duration();
     let end = tokio::time::Instant::now() + grace.saturating_sub(END_MARGIN);
     tokio::time::sleep(ACCEPT_AFTER_STOP.min(grace / 2)).await;
-    front.close();
-    let ended = tokio::time::timeout_at(end, front.ended()).await;
+    frontend.close();
+    let ended = tokio::time::timeout_at(end, frontend.wait_closed()).await;
     if ended.is_err() {
         LogLine::new("stopped_early")
             .with("open", context.metrics.requests_open.get())
--- a/crates/ingress/src/ready.rs
+++ b/crates/ingress/src/ready.rs
@@ -29,7 +29,7 @@
 #[rocket::async_trait]
 impl Handler for ReadyPage {
     async fn handle<'r>(&self, request: &'r Request<'_>, _data: Data<'r>) -> Outcome<'r> {
-        let status = match state(&self.context) {
+        let status = match ready_state(&self.context) {
             ReadyState::Ready => Status::Ok,
             ReadyState::NotReady(_) => Status::ServiceUnavailable,
         };
@@ -38,11 +38,11 @@
 }
 
 /// Whether the instance can serve what callers send.
-pub fn state(context: &EntryContext) -> ReadyState {
+pub fn ready_state(context: &EntryContext) -> ReadyState {
     if context.stopping.is_cancelled() {
         return ReadyState::NotReady("stopping".to_string());
     }
-    if context.belief.lock().table().is_none() {
+    if context.configuration.lock().table().is_none() {
         return ReadyState::NotReady("no configuration has been read".to_string());
     }
     if context.configuration_is_outdated(context.now()) {
@@ -58,7 +58,7 @@
 pub fn dump(context: &EntryContext) -> serde_json::Value {
     let now = context.now();
     let (version, age) = {
-        let belief = context.belief.lock();
+        let belief = context.configuration.lock();
         (belief.version(), belief.age(now))
     };
     let endpoints: Vec<_> = context.directory.lock().iter().cloned().collect();
@@ -68,7 +68,7 @@
         "start": context.writer.start,
         "configuration": { "version": version, "age": age },
         "endpoints": endpoints,
-        "ready": match state(context) {
+        "ready": match ready_state(context) {
             ReadyState::Ready => "ready".to_string(),
             ReadyState::NotReady(reason) => reason,
         },
@@ -79,7 +79,7 @@
     let (asked, dumped) = (Arc::clone(context), Arc::clone(context));
     OpsSource::new(
         context.metrics.registry.clone(),
-        move || state(&asked),
+        move || ready_state(&asked),
         move || dump(&dumped),
     )
 }
--- a/crates/ingress/src/steward/provide.rs
+++ b/crates/ingress/src/steward/provide.rs
@@ -25,7 +25,7 @@
         if !self.context.keys_are_fresh(now) {
             return Vec::new();
         }
-        let Some(table) = self.context.belief.lock().table().cloned() else {
+        let Some(table) = self.context.configuration.lock().table().cloned() else {
             return Vec::new();
         };
         let directory = self.context.directory.lock();
--- a/crates/ingress/src/steward/publish.rs
+++ b/crates/ingress/src/steward/publish.rs
@@ -39,7 +39,7 @@
         let phase = (now + interval - AFTER_WINDOW.as_millis()) % interval;
         tokio::time::sleep(Duration::from_millis(interval - phase)).await;
         let is_reader = context.is_reader();
-        let told = context.told_usage.lock().take();
+        let told = context.peer_usage.lock().take();
         if !is_reader && is_told(&context) {
             continue;
         }
@@ -60,7 +60,7 @@
             }
             Ok(AppendAnswer::EndMoved { .. }) => {}
             Err(error) => {
-                context.told_usage.lock().put_back(told);
+                context.peer_usage.lock().put_back(told);
                 path.failed(&context, &error).await;
             }
         }
@@ -105,7 +105,7 @@
 
 /// Another entry told what it counted.
 pub fn take_told_usage(context: &EntryContext, usage: &UsageRecord) {
-    context.told_usage.lock().take_word(usage);
+    context.peer_usage.lock().take_word(usage);
 }
 
 /// What other entries told and is not published yet. Counts are always told in
