--- a/crates/ingress/src/believe/endpoints.rs
+++ b/crates/ingress/src/believe/endpoints.rs
@@ -184,7 +184,7 @@
     let change = context.directory.lock().register(registration.clone());
     match change {
         DirectoryChange::Same => return,
-        DirectoryChange::Started => context.pools.forget(id),
+        DirectoryChange::Started => context.pools.remove_endpoint(id),
         _ => {}
     }
     tell(context, id, Some(value));
@@ -271,7 +271,7 @@
     }
     context.engines.lock().remove_engine(id);
     context.replicas.lock().forget(id);
-    context.pools.forget(id);
+    context.pools.remove_endpoint(id);
 }
 
 fn drop_lapsed(context: &EntryContext) {
--- a/crates/ingress/src/forward/answer.rs
+++ b/crates/ingress/src/forward/answer.rs
@@ -1,4 +1,4 @@
-//! Whole answers of endpoints.
+//! Endpoint answers that are read completely before they are forwarded.
 
 use bluebell_core::{clock::TimeSpan, placement::EndpointTarget};
 use bytes::Bytes;
@@ -12,12 +12,12 @@
     hop_headers,
 };
 
-/// The largest answer that is held as a whole; larger ones are taken for broken.
-const ANSWER_LIMIT: usize = 16 * 1_024 * 1_024;
+/// Maximum body size of a buffered answer in bytes; a larger answer is treated as broken.
+const MAX_ANSWER_BYTES: usize = 16 * 1_024 * 1_024;
 
-/// An answer that was read to its end.
+/// An answer whose body was read to its end.
 #[derive(Clone, Debug)]
-pub struct WholeAnswer {
+pub struct CompleteAnswer {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -26,51 +26,54 @@
     pub body: Bytes,
 }
 
-impl WholeAnswer {
-    /// Reads the rest of an answer; `None` if it breaks off or takes too long.
-    /// Only an answer that came whole keeps its connection.
+impl CompleteAnswer {
+    /// Reads the rest of an answer. Returns `None` if the connection breaks, the body
+    /// exceeds the size limit or `timeout` elapses. Only the connection of a completely
+    /// read answer returns to the pool.
     pub async fn read(
         context: &EntryContext,
         target: &EndpointTarget,
         answer: EndpointAnswer,
-        patience: TimeSpan,
-    ) -> Option<WholeAnswer> {
+        timeout: TimeSpan,
+    ) -> Option<CompleteAnswer> {
         let (head, body) = answer.response.into_parts();
-        let collected = Limited::new(body, ANSWER_LIMIT).collect();
-        let collected = tokio::time::timeout(patience.as_duration(), collected).await;
+        let collected = Limited::new(body, MAX_ANSWER_BYTES).collect();
+        let collected = tokio::time::timeout(timeout.as_duration(), collected).await;
         let body = collected.ok()?.ok()?.to_bytes();
-        attempt::keep(context, target, answer.connection);
-        Some(WholeAnswer {
+        attempt::return_to_pool(context, target, answer.connection);
+        Some(CompleteAnswer {
             status: head.status,
             headers: head.headers,
             body,
         })
     }
 
-    /// Whether the endpoint's own work failed.
+    /// Whether the endpoint reports that it failed (status 5xx).
     pub fn is_failure(&self) -> bool {
         self.status.is_server_error()
     }
 
-    /// The answer for the caller.
+    /// Converts the answer into the response to the caller.
     pub fn into_response(self) -> Response<AnswerBody> {
         let mut response = Response::new(full_body(self.body));
         *response.status_mut() = self.status;
-        *response.headers_mut() = caller_headers(&self.headers);
+        *response.headers_mut() = end_to_end_headers(&self.headers);
         response
     }
 }
 
-/// The headers of an answer that go on to the caller: all but those of the
-/// connection and of the framing.
-pub fn caller_headers(headers: &HeaderMap) -> HeaderMap {
-    let named = hop_headers::named(headers);
-    let mut kept = HeaderMap::with_capacity(headers.len());
+/// Returns the headers of an answer that are forwarded to the caller: all except
+/// hop-by-hop headers and `Content-Length`.
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
+    let connection_options = hop_headers::connection_options(headers);
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let is_named = named.iter().any(|hop_headers| hop_headers == name.as_str());
-        if !is_named && !hop_headers::is_hop(name) && *name != CONTENT_LENGTH {
-            kept.append(name.clone(), value.clone());
+        let is_connection_option = connection_options
+            .iter()
+            .any(|option| option == name.as_str());
+        if !is_connection_option && !hop_headers::is_hop_by_hop(name) && *name != CONTENT_LENGTH {
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    kept
+    forwarded
 }
--- a/crates/ingress/src/forward/attempt.rs
+++ b/crates/ingress/src/forward/attempt.rs
@@ -1,8 +1,8 @@
-//! One attempt at one endpoint: what was sent, and what is known of its fate.
+//! One attempt at one endpoint: sends the request and classifies the result.
 //!
-//! An attempt that failed before a byte was written may go elsewhere whatever its
-//! kind; one whose endpoint says that it did not run it may, too. After any other
-//! failure it may have run.
+//! An attempt that failed before any byte was written, or that the endpoint reports as
+//! not executed, may be retried on another endpoint for every kind of request. After
+//! any other failure the request may have run.
 
 use bluebell_adapter::headers;
 use bluebell_core::{clock::TimeSpan, placement::EndpointTarget};
@@ -17,89 +17,89 @@
     context::EntryContext, forward::connection::EndpointConnection, frontend::CallerRequest,
 };
 
-/// The beginning of an answer, with the connection that it comes on.
+/// The head of an answer, with the connection that carries it.
 #[derive(Debug)]
 pub struct EndpointAnswer {
-    /// Status, headers and the body to come.
+    /// Status, headers and the unread body.
     pub response: Response<Incoming>,
-    /// The connection.
+    /// The connection that the body is read from.
     pub connection: EndpointConnection,
 }
 
-/// How an attempt ended, up to the head of the answer.
+/// Result of an attempt, up to the head of the answer.
 #[derive(Debug)]
-pub enum AttemptEnd {
-    /// The endpoint answers.
+pub enum SendOutcome {
+    /// The endpoint answered.
     Answered(EndpointAnswer),
-    /// The endpoint says that it has not run the request.
+    /// The endpoint reports that it did not run the request.
     NotExecuted {
-        /// The status.
+        /// Status of the answer.
         status: StatusCode,
-        /// Whether another endpoint answers at the address now.
-        is_gone: bool,
+        /// Whether a different endpoint now answers at the address.
+        is_replaced: bool,
     },
-    /// Not a byte of it was written.
+    /// No byte of the request was written; holds the error.
     NotSent(String),
-    /// It may have run.
+    /// The request may have run; holds the error.
     MaybeRun(String),
-    /// No answer came in the time allowed; it may have run.
+    /// No answer arrived within the timeout; the request may have run.
     TimedOut,
 }
 
-impl AttemptEnd {
-    /// The end in logs and metrics.
+impl SendOutcome {
+    /// The label of the outcome in logs and metrics.
     pub const fn as_str(&self) -> &'static str {
         match self {
-            AttemptEnd::Answered(_) => "answered",
-            AttemptEnd::NotExecuted { .. } => "not_executed",
-            AttemptEnd::NotSent(_) => "not_sent",
-            AttemptEnd::MaybeRun(_) => "maybe_run",
-            AttemptEnd::TimedOut => "timed_out",
+            SendOutcome::Answered(_) => "answered",
+            SendOutcome::NotExecuted { .. } => "not_executed",
+            SendOutcome::NotSent(_) => "not_sent",
+            SendOutcome::MaybeRun(_) => "maybe_run",
+            SendOutcome::TimedOut => "timed_out",
         }
     }
 }
 
-/// Headers that the system adds to one attempt.
-pub type AddedHeaders = Vec<(&'static str, String)>;
+/// Headers that the entry adds to a single attempt.
+pub type ExtraHeaders = Vec<(&'static str, String)>;
 
-/// Sends the request to `target` and waits `patience` for the head of its answer.
+/// Sends the request to `target` and waits up to `timeout` for the head of the answer.
 pub async fn send(
     context: &EntryContext,
     request: &CallerRequest,
     target: &EndpointTarget,
-    added: &AddedHeaders,
-    patience: TimeSpan,
-) -> AttemptEnd {
-    let end = tokio::time::timeout(
-        patience.as_duration(),
-        exchange(context, request, target, added),
+    extra_headers: &ExtraHeaders,
+    timeout: TimeSpan,
+) -> SendOutcome {
+    let outcome = tokio::time::timeout(
+        timeout.as_duration(),
+        exchange(context, request, target, extra_headers),
     );
-    let end = end.await.unwrap_or(AttemptEnd::TimedOut);
+    let outcome = outcome.await.unwrap_or(SendOutcome::TimedOut);
     let counters = &context.metrics.attempts;
-    counters.with_label_values(&[end.as_str()]).inc();
-    end
+    counters.with_label_values(&[outcome.as_str()]).inc();
+    outcome
 }
 
 async fn exchange(
     context: &EntryContext,
     request: &CallerRequest,
     target: &EndpointTarget,
-    added: &AddedHeaders,
-) -> AttemptEnd {
-    // A kept connection may have been closed at the other end; if so, nothing was
-    // written and a new one is opened.
+    extra_headers: &ExtraHeaders,
+) -> SendOutcome {
+    // The endpoint may have closed a pooled connection. Nothing was written then, and
+    // the next pooled connection or a new one is used.
     while let Some(connection) = context
         .pools
         .take(context.now(), &target.id, target.address)
     {
-        match exchange_on(context, request, target, added, connection).await {
-            AttemptEnd::NotSent(_) => {}
-            end => return end,
+        match exchange_on(context, request, target, extra_headers, connection).await {
+            SendOutcome::NotSent(_) => {}
+            outcome => return outcome,
         }
     }
     match EndpointConnection::connect(target.address).await {
-        Ok(connection) => exchange_on(context, request, target, added, connection).await,
-        Err(error) => AttemptEnd::NotSent(error.to_string()),
+        Ok(connection) => exchange_on(context, request, target, extra_headers, connection).await,
+        Err(error) => SendOutcome::NotSent(error.to_string()),
     }
 }
 
@@ -107,28 +107,30 @@
     context: &EntryContext,
     request: &CallerRequest,
     target: &EndpointTarget,
-    added: &AddedHeaders,
+    extra_headers: &ExtraHeaders,
     mut connection: EndpointConnection,
-) -> AttemptEnd {
-    let outgoing = match outgoing(context, request, target, added) {
+) -> SendOutcome {
+    let outgoing = match outgoing(context, request, target, extra_headers) {
         Ok(outgoing) => outgoing,
-        Err(error) => return AttemptEnd::NotSent(error.to_string()),
+        Err(error) => return SendOutcome::NotSent(error.to_string()),
     };
     let response = match connection.sender.try_send_request(outgoing).await {
         Ok(response) => response,
         Err(mut failure) => {
-            let untouched = failure.take_message().is_some();
+            let is_unsent = failure.take_message().is_some();
             let error = failure.into_error().to_string();
-            return match untouched {
-                true => AttemptEnd::NotSent(error),
-                false => AttemptEnd::MaybeRun(error),
+            return match is_unsent {
+                true => SendOutcome::NotSent(error),
+                false => SendOutcome::MaybeRun(error),
             };
         }
     };
-    // An answer to an earlier request may come late, where ours is due.
-    let answered_id = response.headers().get(headers::ATTEMPT_ID);
-    if answered_id.is_none_or(|id| id.as_bytes() != request.id.as_str().as_bytes()) {
-        return AttemptEnd::MaybeRun("the answer is to another request".to_string());
+    // A late answer to an earlier request may arrive in place of the answer to this one.
+    let response_id = response.headers().get(headers::ATTEMPT_ID);
+    if response_id.is_none_or(|id| id.as_bytes() != request.id.as_str().as_bytes()) {
+        return SendOutcome::MaybeRun(
+            "the attempt id of the answer is that of another request".to_string(),
+        );
     }
     let keep_alive = response.headers().get("keep-alive");
     connection.note_keep_alive(keep_alive.and_then(|value| value.to_str().ok()));
@@ -136,40 +138,51 @@
     if status == StatusCode::MISDIRECTED_REQUEST
         || response.headers().contains_key(headers::NOT_EXECUTED)
     {
-        let answered = response.headers().get(headers::ENDPOINT_ID);
-        let is_gone = status == StatusCode::MISDIRECTED_REQUEST
-            && answered.is_some_and(|id| id.as_bytes() != target.id.as_str().as_bytes());
+        let responder = response.headers().get(headers::ENDPOINT_ID);
+        let is_replaced = status == StatusCode::MISDIRECTED_REQUEST
+            && responder.is_some_and(|id| id.as_bytes() != target.id.as_str().as_bytes());
         let answer = EndpointAnswer {
             response,
             connection,
         };
-        give_back(context, target, answer).await;
-        return AttemptEnd::NotExecuted { status, is_gone };
+        discard_body(context, target, answer).await;
+        return SendOutcome::NotExecuted {
+            status,
+            is_replaced,
+        };
     }
-    AttemptEnd::Answered(EndpointAnswer {
+    SendOutcome::Answered(EndpointAnswer {
         response,
         connection,
     })
 }
 
-/// Reads the short rest of an answer that nobody needs, and keeps the connection.
-async fn give_back(context: &EntryContext, target: &EndpointTarget, answer: EndpointAnswer) {
-    /// A refusal's body is some bytes; one that is slow is not worth a connection.
-    const REST_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(20);
+/// Reads and discards the short rest of an answer and returns the connection to the pool.
+async fn discard_body(context: &EntryContext, target: &EndpointTarget, answer: EndpointAnswer) {
+    /// The body of a refusal is a few bytes long. A connection that does not deliver it
+    /// within this time is closed instead of pooled.
+    const DISCARD_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(20);
     let body = http_body_util::Limited::new(answer.response.into_body(), 65_536);
-    let rest = http_body_util::BodyExt::collect(body);
-    if let Ok(Ok(_)) = tokio::time::timeout(REST_TIMEOUT, rest).await {
-        keep(context, target, answer.connection);
+    let collected = http_body_util::BodyExt::collect(body);
+    if let Ok(Ok(_)) = tokio::time::timeout(DISCARD_TIMEOUT, collected).await {
+        return_to_pool(context, target, answer.connection);
     }
 }
 
-/// Keeps a connection whose answer was read to its end.
-pub fn keep(context: &EntryContext, target: &EndpointTarget, mut connection: EndpointConnection) {
-    let context_now = context.now();
-    if futures::FutureExt::now_or_never(connection.sender.ready()).is_some_and(|r| r.is_ok()) {
+/// Returns a connection to the pool after its answer was read to the end. A connection
+/// that can't take another request is closed.
+pub fn return_to_pool(
+    context: &EntryContext,
+    target: &EndpointTarget,
+    mut connection: EndpointConnection,
+) {
+    let now = context.now();
+    if futures::FutureExt::now_or_never(connection.sender.ready())
+        .is_some_and(|ready| ready.is_ok())
+    {
         context
             .pools
-            .put(context_now, &target.id, target.address, connection);
+            .put(now, &target.id, target.address, connection);
     }
 }
 
@@ -177,35 +190,35 @@
     context: &EntryContext,
     request: &CallerRequest,
     target: &EndpointTarget,
-    added: &AddedHeaders,
+    extra_headers: &ExtraHeaders,
 ) -> Result<Request<Full<bytes::Bytes>>, hyper::http::Error> {
     let mut outgoing = Request::builder()
         .method(request.method.clone())
         .uri(request.target.as_str())
         .body(Full::new(request.body.clone()))?;
-    let mut sent: HeaderMap = request.headers.clone();
-    let left = request.time_left(context.now()).as_millis();
+    let mut headers_to_send: HeaderMap = request.headers.clone();
+    let remaining = request.time_left(context.now()).as_millis();
     let mut set = |name: &'static str, value: String| -> Result<(), hyper::http::Error> {
-        sent.insert(
+        headers_to_send.insert(
             HeaderName::from_static(name),
             HeaderValue::from_str(&value)?,
         );
         Ok(())
     };
-    set(headers::DEADLINE_MS, left.to_string())?;
+    set(headers::DEADLINE_MS, remaining.to_string())?;
     set(headers::EXPECT_ENDPOINT, target.id.to_string())?;
     if let Some(organisation) = &request.organisation {
         set(headers::ORGANISATION, organisation.to_string())?;
     }
-    for (name, value) in added {
+    for (name, value) in extra_headers {
         set(name, value.clone())?;
     }
-    *outgoing.headers_mut() = sent;
+    *outgoing.headers_mut() = headers_to_send;
     Ok(outgoing)
 }
 
-/// Whether an answer is the endpoint's own: signed, and not in an encoding that
-/// nobody asked for.
+/// Whether an answer comes from the endpoint itself: it has the signature header, and
+/// no content encoding, which requests never ask for.
 pub fn is_signed(headers: &HeaderMap) -> bool {
     headers.contains_key(headers::SIGNATURE) && !headers.contains_key(CONTENT_ENCODING)
 }
--- a/crates/ingress/src/forward/connection.rs
+++ b/crates/ingress/src/forward/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint.
+//! HTTP connections to endpoints.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -10,29 +10,31 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::{net::TcpStream, task::AbortHandle};
 
-/// How long a connection may take to come about. Endpoints are some ms away; a
-/// lost opening packet is sent again after a second, sooner elsewhere.
+/// Timeout for opening a connection. Endpoints are a few ms away. A lost SYN packet is
+/// retransmitted only after a second, and a retry on another endpoint is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long sent bytes may stay unacknowledged, and when and how often a silent
-/// endpoint is asked whether it is there. A connection can go silent for good
-/// without a reset; a caller with 2.5 s must still get an answer. Two losses of a
-/// packet in a row, at three in a hundred, are borne.
-const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(800);
-const KEEPALIVE_TIME: Duration = Duration::from_secs(1);
+/// How long sent bytes may stay unacknowledged before the connection is closed. A
+/// connection can stop carrying packets without a reset, and a caller with a deadline
+/// of 2.5 s must still get an answer. Two consecutive losses of a packet, at a loss
+/// rate of three in a hundred, do not close the connection.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Idle time before the first TCP keep-alive probe, and interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_RETRIES: u32 = 2;
 
-/// How long a connection is kept idle where the endpoint does not say.
-const IDLE_LIMIT: TimeSpan = TimeSpan::from_secs(8);
+/// Maximum idle time of a pooled connection, and the default if the endpoint announces
+/// no keep-alive timeout.
+const MAX_IDLE_TIME: TimeSpan = TimeSpan::from_secs(8);
 
-/// A connection that carries one request at a time. Dropping it closes it at
-/// once, which stops the work at the endpoint.
+/// A connection that carries one request at a time. Dropping it closes it immediately,
+/// which stops the work at the endpoint.
 #[derive(Debug)]
 pub struct EndpointConnection {
-    /// Sends requests.
+    /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
-    idle_limit: TimeSpan,
+    max_idle_time: TimeSpan,
     idle_since: Option<ClockTime>,
 }
 
@@ -43,18 +45,19 @@
 }
 
 impl EndpointConnection {
-    /// Connects.
+    /// Opens a connection to `address`. Fails if the endpoint can't be reached within
+    /// the timeout or a socket option can't be set.
     pub async fn connect(address: SocketAddr) -> io::Result<EndpointConnection> {
         let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = connected.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         stream.set_nodelay(true)?;
         let keepalive = TcpKeepalive::new()
-            .with_time(KEEPALIVE_TIME)
-            .with_interval(KEEPALIVE_TIME)
+            .with_time(KEEPALIVE_INTERVAL)
+            .with_interval(KEEPALIVE_INTERVAL)
             .with_retries(KEEPALIVE_RETRIES);
         let socket = SockRef::from(&stream);
         socket.set_tcp_keepalive(&keepalive)?;
-        socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
+        socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(io::Error::other)?;
@@ -66,14 +69,15 @@
         Ok(EndpointConnection {
             sender,
             driver: driver.abort_handle(),
-            idle_limit: IDLE_LIMIT,
+            max_idle_time: MAX_IDLE_TIME,
             idle_since: None,
         })
     }
 
-    /// Takes the endpoint's word on how long it keeps an idle connection, in whole
-    /// seconds. A request that crosses its close may be lost, so the connection is
-    /// given up at half of that.
+    /// Applies a `Keep-Alive` header, in which the endpoint announces in whole seconds
+    /// how long it keeps an idle connection. A request that is sent while the endpoint
+    /// closes the connection may be lost, so the connection is used for half of that
+    /// time only.
     pub fn note_keep_alive(&mut self, header: Option<&str>) {
         let timeout = header.and_then(|value| {
             value.split(',').find_map(|part| {
@@ -82,20 +86,20 @@
             })
         });
         if let Some(seconds) = timeout {
-            self.idle_limit = TimeSpan::from_millis(seconds * 500).min(IDLE_LIMIT);
+            self.max_idle_time = TimeSpan::from_millis(seconds * 500).min(MAX_IDLE_TIME);
         }
     }
 
-    /// The connection is idle from now on.
-    pub fn rest(&mut self, now: ClockTime) {
+    /// Records that the connection is idle since `now`.
+    pub fn mark_idle(&mut self, now: ClockTime) {
         self.idle_since = Some(now);
     }
 
-    /// Whether a request may be sent on it.
+    /// Whether the connection is open and within its maximum idle time.
     pub fn is_usable(&self, now: ClockTime) -> bool {
-        let rested = self
+        let idle_time = self
             .idle_since
             .map_or(TimeSpan::ZERO, |since| now.since(since));
-        self.sender.is_ready() && rested < self.idle_limit
+        self.sender.is_ready() && idle_time < self.max_idle_time
     }
 }
--- a/crates/ingress/src/forward/events.rs
+++ b/crates/ingress/src/forward/events.rs
@@ -1,4 +1,4 @@
-//! The events of a stream, whole ones only.
+//! Splits the event stream of an answer into complete server-sent events.
 
 use std::time::Duration;
 
@@ -6,32 +6,33 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// The longest event; a longer one is taken for a broken stream.
-const EVENT_LIMIT: usize = 1_024 * 1_024;
+/// Maximum size of an event in bytes; a stream with a larger one is treated as broken.
+const MAX_EVENT_BYTES: usize = 1_024 * 1_024;
 
-/// What comes next in a stream.
+/// Result of a read from an event stream.
 #[derive(Debug, PartialEq, Eq)]
 pub enum NextEvents {
-    /// One or more whole events, and the id of the last one.
+    /// One or more complete events.
     Events {
-        /// Their bytes, as they came.
+        /// The bytes of the events, unchanged.
         bytes: Bytes,
-        /// The id of the last of them that had one.
+        /// The id of the last event that has one.
         last_id: Option<u64>,
     },
-    /// The stream came to its proper end.
+    /// The stream ended after a complete event.
     End,
-    /// It broke off, or is not a stream of events.
+    /// The connection failed, the stream ended within an event, or an event exceeds the
+    /// size limit.
     Broken,
-    /// Nothing came in the time allowed.
-    Silent,
+    /// No complete event arrived within the timeout.
+    TimedOut,
 }
 
-/// Splits what arrives into whole events whose ids rise.
+/// Splits received bytes into complete events with increasing ids.
 ///
-/// An endpoint may stop in the middle of an event, and go on elsewhere from the
-/// last whole one; a piece of an event that went on to the caller could not be
-/// taken back.
+/// An endpoint may fail in the middle of an event, and another one then continues after
+/// the last complete event. A partial event that was already forwarded to the caller
+/// could not be withdrawn.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
@@ -39,7 +40,8 @@
 }
 
 impl EventSplitter {
-    /// Events with an id up to `last_id` were delivered already.
+    /// Creates a splitter that drops events with ids up to `last_id`, which were
+    /// delivered already.
     pub fn new(last_id: Option<u64>) -> EventSplitter {
         EventSplitter {
             buffer: BytesMut::new(),
@@ -47,30 +49,30 @@
         }
     }
 
-    /// Adds what arrived.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether an event has begun and not ended.
-    pub fn has_rest(&self) -> bool {
+    /// Whether the buffer holds an incomplete event.
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The id of the last event that was taken.
+    /// The id of the last event that was taken, or of the last one delivered before.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Whether more is held than an event may have.
-    pub fn is_too_long(&self) -> bool {
-        self.buffer.len() > EVENT_LIMIT
+    /// Whether the buffered event exceeds the size limit.
+    pub fn exceeds_limit(&self) -> bool {
+        self.buffer.len() > MAX_EVENT_BYTES
     }
 
-    /// Takes all whole events. Those whose id does not rise came twice and are
-    /// left out.
-    pub fn take(&mut self) -> Option<Bytes> {
-        let mut taken = BytesMut::new();
+    /// Removes all complete events from the buffer and returns them. An event whose id
+    /// does not increase is a duplicate and is dropped.
+    pub fn take_events(&mut self) -> Option<Bytes> {
+        let mut events = BytesMut::new();
         while let Some(end) = event_end(&self.buffer) {
             let event = self.buffer.split_to(end);
             match event_id(&event) {
@@ -78,17 +80,17 @@
                 Some(id) => self.last_id = Some(id),
                 None => {}
             }
-            if taken.is_empty() {
-                taken = event;
+            if events.is_empty() {
+                events = event;
             } else {
-                taken.extend_from_slice(&event);
+                events.extend_from_slice(&event);
             }
         }
-        (!taken.is_empty()).then(|| taken.freeze())
+        (!events.is_empty()).then(|| events.freeze())
     }
 }
 
-/// Where the first event ends: after an empty line.
+/// Returns the index after the first event, which ends with an empty line.
 fn event_end(buffer: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in buffer.iter().enumerate() {
@@ -118,7 +120,8 @@
 }
 
 impl EventReader {
-    /// Reads `body`; events up to `last_id` were delivered already.
+    /// Creates a reader that skips events of `body` with ids up to `last_id`, which
+    /// were delivered already.
     pub fn new(body: Incoming, last_id: Option<u64>) -> EventReader {
         EventReader {
             body,
@@ -126,13 +129,13 @@
         }
     }
 
-    /// The id of the last event that was read.
+    /// The id of the last event that was read, or of the last one delivered before.
     pub fn last_id(&self) -> Option<u64> {
         self.splitter.last_id()
     }
 
-    /// Waits for the next events.
-    pub async fn next(&mut self, patience: Duration) -> NextEvents {
+    /// Waits up to `timeout` for the next complete events.
+    pub async fn next(&mut self, timeout: Duration) -> NextEvents {
         let read = async {
             loop {
                 match self.body.frame().await {
@@ -141,21 +144,21 @@
                             continue;
                         };
                         self.splitter.push(&bytes);
-                        if let Some(bytes) = self.splitter.take() {
+                        if let Some(bytes) = self.splitter.take_events() {
                             let last_id = self.splitter.last_id();
                             return NextEvents::Events { bytes, last_id };
                         }
-                        if self.splitter.is_too_long() {
+                        if self.splitter.exceeds_limit() {
                             return NextEvents::Broken;
                         }
                     }
                     Some(Err(_)) => return NextEvents::Broken,
-                    None if self.splitter.has_rest() => return NextEvents::Broken,
+                    None if self.splitter.has_partial_event() => return NextEvents::Broken,
                     None => return NextEvents::End,
                 }
             }
         };
-        let next = tokio::time::timeout(patience, read).await;
-        next.unwrap_or(NextEvents::Silent)
+        let next = tokio::time::timeout(timeout, read).await;
+        next.unwrap_or(NextEvents::TimedOut)
     }
 }
--- a/crates/ingress/src/forward/generate.rs
+++ b/crates/ingress/src/forward/generate.rs
@@ -1,4 +1,4 @@
-//! Requests to model engines: the prefill, the hand-over, the run.
+//! Requests to model engines: prefill, hand-over and run.
 
 use std::sync::Arc;
 
@@ -17,53 +17,54 @@
 use crate::{
     context::EntryContext,
     forward::{
-        answer::WholeAnswer,
-        attempt::{self, AddedHeaders, AttemptEnd, EndpointAnswer},
+        answer::CompleteAnswer,
+        attempt::{self, EndpointAnswer, ExtraHeaders, SendOutcome},
         events::{EventReader, NextEvents},
         guards::{PrefillGuard, RunGuard},
         meter,
         prefill::PrefilledSource,
-        refuse, request_line,
-        stream::{self, RunningStream, StreamMark},
+        refuse, request_log_line,
+        stream::{self, RunningStream, StreamPosition},
     },
     frontend::{AnswerBody, CallerRequest, DEFAULT_RETRY_AFTER, Refusal, RefusalReason},
 };
 
-/// How many engines are asked at most, counting those that refused.
-const ASKED_LIMIT: usize = 5;
+/// Maximum number of calls sent to engines for one request, including refused ones.
+const MAX_CALLS: usize = 5;
 
-/// How many engines are tried at most, counting those that could not be reached:
-/// when a third of them has crashed, one in 60 requests meets four in a row.
-const TRIED_LIMIT: usize = 9;
+/// Maximum number of engines attempted for one request, including unreachable ones:
+/// when a third of the engines has crashed, one in 60 requests selects four crashed
+/// engines in a row.
+const MAX_ATTEMPTED_ENGINES: usize = 9;
 
-/// How many steps of urgency at an engine lie between two ranks of routes.
+/// Number of engine priority levels per level of route priority.
 const PRIORITY_STEP: u8 = 3;
-/// The least urgent rank that engines know.
-const LEAST_URGENT: u8 = 9;
+/// The least urgent priority level of engines.
+const LOWEST_ENGINE_PRIORITY: u8 = 9;
 
-/// How many engines may refuse to take over a prefilled prompt before it is
-/// prefilled anew: the first refusals are of the engines, later ones likely of
-/// the prompt, which may have lapsed.
-const TAKEOVERS_LIMIT: u32 = 2;
+/// How many engines may refuse to take over a prefilled prompt before it is prefilled
+/// again. The first refusals usually concern the engine; later ones probably concern the
+/// prompt, which may have expired.
+const MAX_HANDOVER_REFUSALS: u32 = 2;
 
-/// Why a try did not come to a run.
-pub struct FailedTry {
-    /// Why, for the caller.
+/// Why an attempt did not start a run.
+pub struct FailedAttempt {
+    /// The reason sent to the caller.
     pub reason: RefusalReason,
-    /// Why, for the log.
+    /// Details for the log.
     pub detail: String,
     is_final: bool,
-    /// When the caller is to come back, if more is known than usual.
+    /// Delay until the caller may retry, if a better value than the default is known.
     retry_after: Option<TimeSpan>,
 }
 
-impl FailedTry {
-    /// The try failed; another may follow.
-    pub fn new<Detail>(reason: RefusalReason, detail: Detail) -> FailedTry
+impl FailedAttempt {
+    /// Creates a failure after which another attempt may follow.
+    pub fn new<Detail>(reason: RefusalReason, detail: Detail) -> FailedAttempt
     where
         Detail: Into<String>,
     {
-        FailedTry {
+        FailedAttempt {
             reason,
             detail: detail.into(),
             is_final: false,
@@ -71,33 +72,33 @@
         }
     }
 
-    /// No other try is to follow.
-    fn last(mut self) -> FailedTry {
+    /// Marks the failure as final: no other attempt follows.
+    fn without_retry(mut self) -> FailedAttempt {
         self.is_final = true;
         self
     }
 }
 
-/// What a try came to.
-enum TryEnd {
-    /// A stream has begun: its first events are there.
+/// Result of an attempt that an engine answered.
+enum AttemptOutcome {
+    /// The first events of a stream have arrived.
     Streaming(Box<RunningStream>),
-    /// The engine answered in one piece.
-    Whole(WholeAnswer),
+    /// The engine sent a complete answer instead of a stream.
+    Complete(CompleteAnswer),
 }
 
-/// The tries of one request at engines.
+/// The attempts of one request at engines.
 #[derive(Debug)]
 pub struct GenerationRun {
-    /// What all parts of the entry share.
+    /// The shared state of the entry.
     pub context: Arc<EntryContext>,
     /// The request.
     pub request: Arc<CallerRequest>,
     pub(super) work: PromptWork,
     attempts: RequestAttempts,
-    tried: Vec<EndpointId>,
-    pub(super) asked: usize,
-    runs: u32,
+    attempted: Vec<EndpointId>,
+    pub(super) calls: usize,
+    possible_runs: u32,
     arrivals: RequestArrivals,
     source: Option<PrefilledSource>,
     is_metered: bool,
@@ -109,14 +110,14 @@
     request: &Arc<CallerRequest>,
 ) -> Response<AnswerBody> {
     let mut run = GenerationRun::new(context, request);
-    match run.begin(None).await {
-        Ok(TryEnd::Streaming(running)) => stream::into_response(run, *running),
-        Ok(TryEnd::Whole(answer)) => {
+    match run.start_run(None).await {
+        Ok(AttemptOutcome::Streaming(running)) => stream::into_response(run, *running),
+        Ok(AttemptOutcome::Complete(answer)) => {
             let counters = &context.metrics.answers;
             counters.with_label_values(&["model", "answered"]).inc();
-            request_line(context, "answered", request)
+            request_log_line(context, "answered", request)
                 .with("status", answer.status.as_u16())
-                .with("asked", run.asked)
+                .with("asked", run.calls)
                 .info();
             answer.into_response()
         }
@@ -136,41 +137,42 @@
             request: Arc::clone(request),
             work: request.work.clone().unwrap_or_default(),
             attempts: RequestAttempts::new(request.id.clone(), kind),
-            tried: Vec::new(),
-            asked: 0,
-            runs: 0,
+            attempted: Vec::new(),
+            calls: 0,
+            possible_runs: 0,
             arrivals: RequestArrivals::new(),
             source: None,
             is_metered: false,
         }
     }
 
-    /// The running stream came to its end, or nobody waits for it any more.
+    /// Records that the stream has ended or has been aborted.
     pub fn end(&mut self) {
         self.attempts.end();
     }
 
-    /// Goes on with a broken stream elsewhere, from the event after `last_id`.
+    /// Continues a broken stream on another engine, from the event after `last_id`.
+    /// Returns `None` if the request may not be retried or no engine streams an answer.
     pub async fn resume(
         &mut self,
         failed: &EndpointId,
         last_id: Option<u64>,
     ) -> Option<RunningStream> {
-        self.lost(failed);
-        if self.request.route.work_kind() != WorkKind::Repeatable || !self.may_go_on() {
+        self.note_possible_run(failed);
+        if self.request.route.work_kind() != WorkKind::Repeatable || !self.may_retry() {
             return None;
         }
-        match self.begin(last_id).await {
-            Ok(TryEnd::Streaming(running)) => Some(*running),
+        match self.start_run(last_id).await {
+            Ok(AttemptOutcome::Streaming(running)) => Some(*running),
             _ => None,
         }
     }
 
-    /// Tries engines until one has begun to answer.
-    async fn begin(&mut self, last_id: Option<u64>) -> Result<TryEnd, FailedTry> {
+    /// Sends the request to engines until one has started to answer.
+    async fn start_run(&mut self, last_id: Option<u64>) -> Result<AttemptOutcome, FailedAttempt> {
         loop {
-            let failed = match self.try_once(last_id).await {
-                Ok(end) => return Ok(end),
+            let failed = match self.attempt_once(last_id).await {
+                Ok(outcome) => return Ok(outcome),
                 Err(failed) => failed,
             };
             let is_repeatable = self.request.route.work_kind() == WorkKind::Repeatable;
@@ -178,27 +180,27 @@
                 failed.reason,
                 RefusalReason::EndpointsFull | RefusalReason::NoEndpoint
             );
-            if failed.is_final || !(is_repeatable || has_not_run) || !self.may_go_on() {
+            if failed.is_final || !(is_repeatable || has_not_run) || !self.may_retry() {
                 return Err(failed);
             }
-            request_line(&self.context, "sent_elsewhere", &self.request)
+            request_log_line(&self.context, "sent_elsewhere", &self.request)
                 .with("reason", failed.reason)
                 .with("detail", failed.detail)
                 .info();
         }
     }
 
-    fn may_go_on(&self) -> bool {
+    fn may_retry(&self) -> bool {
         let now = self.context.now();
         let has_time = self.request.time_left(now) > TimeSpan::ZERO;
         has_time
-            && self.asked < ASKED_LIMIT
-            && self.tried.len() < TRIED_LIMIT
-            && self.runs < self.request.route.attempts_limit
+            && self.calls < MAX_CALLS
+            && self.attempted.len() < MAX_ATTEMPTED_ENGINES
+            && self.possible_runs < self.request.route.attempts_limit
     }
 
-    /// Pays for what the next call adds to the arrivals beyond the first.
-    pub(super) fn pay_for_next(&mut self) -> Result<(), FailedTry> {
+    /// Charges the retry budget for the arrivals that the next call adds beyond the first.
+    pub(super) fn charge_next_call(&mut self) -> Result<(), FailedAttempt> {
         if !self.arrivals.must_pay() {
             return Ok(());
         }
@@ -208,30 +210,34 @@
             self.arrivals.pay();
             return Ok(());
         }
-        let detail = "the budget of repeats is used up";
-        Err(FailedTry::new(RefusalReason::EndpointsFull, detail).last())
+        let detail = "the retry budget of the service is exhausted";
+        Err(FailedAttempt::new(RefusalReason::EndpointsFull, detail).without_retry())
     }
 
-    /// Counts a call that left. One that never did was seen by no engine, so what was
-    /// paid for it goes to the next. When many engines crash at once, counting those
-    /// would use up the budget, and requests would be refused while sound engines idle.
-    pub(super) fn note_sent(&mut self, end: &AttemptEnd, arrival: EngineArrival) {
-        let arrival = match end {
-            AttemptEnd::NotSent(_) => return,
-            AttemptEnd::Answered(answer) if answer.response.status().is_success() => arrival,
+    /// Counts a call that was sent. No engine received a call that was not sent, so its
+    /// charge applies to the next call. If unsent calls were counted, a simultaneous
+    /// crash of many engines would exhaust the budget, and requests would be refused
+    /// while working engines are idle.
+    pub(super) fn note_sent(&mut self, outcome: &SendOutcome, arrival: EngineArrival) {
+        let arrival = match outcome {
+            SendOutcome::NotSent(_) => return,
+            SendOutcome::Answered(answer) if answer.response.status().is_success() => arrival,
             _ => EngineArrival::Counted,
         };
-        self.asked += 1;
+        self.calls += 1;
         self.arrivals.arrived(arrival);
     }
 
-    async fn try_once(&mut self, last_id: Option<u64>) -> Result<TryEnd, FailedTry> {
+    async fn attempt_once(
+        &mut self,
+        last_id: Option<u64>,
+    ) -> Result<AttemptOutcome, FailedAttempt> {
         let prefilled = match self.source.take() {
             Some(prefilled) => prefilled,
             None => {
                 let plan = self.plan()?;
                 if plan.runs_there {
-                    return self.run_at_once(&plan, last_id).await;
+                    return self.run_with_prefill(&plan, last_id).await;
                 }
                 let source = self.prefill(&plan).await?;
                 PrefilledSource {
@@ -244,146 +250,159 @@
         let target = match self.choose_runner(&prefilled.plan) {
             Ok(target) => target,
             Err(failed) => {
-                self.free(&prefilled);
-                return Err(failed.last());
+                self.free_prefilled(&prefilled);
+                return Err(failed.without_retry());
             }
         };
-        let mut added = self.added_headers(last_id);
-        added.push((headers::KV_SOURCE, prefilled.source.clone()));
-        let end = self.run(&prefilled.plan, &target, added, None, last_id);
-        let end = end.await;
-        if let Err(failed) = &end
+        let mut extra_headers = self.extra_headers(last_id);
+        extra_headers.push((headers::KV_SOURCE, prefilled.source.clone()));
+        let outcome = self.run(&prefilled.plan, &target, extra_headers, None, last_id);
+        let outcome = outcome.await;
+        if let Err(failed) = &outcome
             && matches!(
                 failed.reason,
                 RefusalReason::EndpointsFull | RefusalReason::NoEndpoint
             )
         {
             let refusals = prefilled.refusals + 1;
-            let kept = PrefilledSource {
+            let retained = PrefilledSource {
                 refusals,
                 ..prefilled
             };
-            self.source = Some(kept).filter(|kept| kept.refusals < TAKEOVERS_LIMIT);
+            self.source =
+                Some(retained).filter(|retained| retained.refusals < MAX_HANDOVER_REFUSALS);
         }
-        end
+        outcome
     }
 
-    async fn run_at_once(
+    async fn run_with_prefill(
         &mut self,
         plan: &PrefillPlan,
         last_id: Option<u64>,
-    ) -> Result<TryEnd, FailedTry> {
-        let added = self.added_headers(last_id);
+    ) -> Result<AttemptOutcome, FailedAttempt> {
+        let extra_headers = self.extra_headers(last_id);
         let prefill = PrefillGuard::new(&self.context, &self.request.service, plan, &self.work);
         let target = plan.engine.clone();
-        self.run(plan, &target, added, Some(prefill), last_id).await
+        self.run(plan, &target, extra_headers, Some(prefill), last_id)
+            .await
     }
 
-    fn rule(&self) -> Option<&EngineRule> {
+    fn engine_rule(&self) -> Option<&EngineRule> {
         let service = self.request.table.service(&self.request.service)?;
         service.engine.as_ref()
     }
 
-    /// The share of an engine that the request takes while it runs.
+    /// The fraction of an engine that the request takes while it runs.
     fn run_share(&self) -> f64 {
         let tokens = self.work.prompt + self.work.output;
-        self.rule().map_or(0.0, |rule| rule.run_share(tokens))
+        self.engine_rule()
+            .map_or(0.0, |rule| rule.run_share(tokens))
     }
 
-    fn ask(&self) -> Result<PlanRequest<'_>, FailedTry> {
-        let Some(rule) = self.rule() else {
-            // No later try would find any, and trying again at once would hold up
-            // everything else in this process.
+    fn plan_request(&self) -> Result<PlanRequest<'_>, FailedAttempt> {
+        let Some(rule) = self.engine_rule() else {
+            // No later attempt can succeed, and retrying in a loop would block all other
+            // tasks of this process.
             let detail = "the service has no engines";
-            return Err(FailedTry::new(RefusalReason::NoEndpoint, detail).last());
+            return Err(FailedAttempt::new(RefusalReason::NoEndpoint, detail).without_retry());
         };
         Ok(PlanRequest {
             service: &self.request.service,
             rule,
             work: &self.work,
             priority: self.request.priority,
-            tried: &self.tried,
+            tried: &self.attempted,
             time_left: self.request.time_left(self.context.now()),
         })
     }
 
-    fn plan(&self) -> Result<PrefillPlan, FailedTry> {
+    fn plan(&self) -> Result<PrefillPlan, FailedAttempt> {
         let now = self.context.now();
-        let plan = self.context.engines.lock().plan(now, self.ask()?);
-        // Trying again at once would find none again, and hold up everything else
-        // in this process while it does.
-        plan.map_err(|error| no_engine(error).last())
+        let plan = self.context.engines.lock().plan(now, self.plan_request()?);
+        // An immediate retry would find no engine either, and would block all other
+        // tasks of this process meanwhile.
+        plan.map_err(|error| no_engine_failure(error).without_retry())
     }
 
-    fn choose_runner(&self, plan: &PrefillPlan) -> Result<EndpointTarget, FailedTry> {
+    fn choose_runner(&self, plan: &PrefillPlan) -> Result<EndpointTarget, FailedAttempt> {
         let now = self.context.now();
         let mut engines = self.context.engines.lock();
-        let target = engines.choose_runner(now, self.ask()?, &plan.engine.id);
-        target.map_err(|error| FailedTry::new(RefusalReason::NoEndpoint, error.to_string()))
+        let target = engines.choose_runner(now, self.plan_request()?, &plan.engine.id);
+        target.map_err(|error| FailedAttempt::new(RefusalReason::NoEndpoint, error.to_string()))
     }
 
-    pub(super) fn added_headers(&self, last_id: Option<u64>) -> AddedHeaders {
+    pub(super) fn extra_headers(&self, last_id: Option<u64>) -> ExtraHeaders {
         let priority = self.request.priority.saturating_mul(PRIORITY_STEP);
-        let priority = priority.min(LEAST_URGENT);
-        let mut added = vec![(headers::REQUEST_PRIORITY, priority.to_string())];
+        let priority = priority.min(LOWEST_ENGINE_PRIORITY);
+        let mut extra_headers = vec![(headers::REQUEST_PRIORITY, priority.to_string())];
         if let Some(id) = last_id {
-            added.push((headers::LAST_EVENT_ID, id.to_string()));
+            extra_headers.push((headers::LAST_EVENT_ID, id.to_string()));
         }
-        added
+        extra_headers
     }
 
-    /// Has the request run.
+    /// Sends the request to `target` to be run, and waits for the start of its answer.
     async fn run(
         &mut self,
         plan: &PrefillPlan,
         target: &EndpointTarget,
-        added: AddedHeaders,
+        extra_headers: ExtraHeaders,
         prefill: Option<PrefillGuard>,
         last_id: Option<u64>,
-    ) -> Result<TryEnd, FailedTry> {
-        self.pay_for_next()?;
+    ) -> Result<AttemptOutcome, FailedAttempt> {
+        self.charge_next_call()?;
         let Ok(permit) = self.attempts.send(&target.id) else {
-            return Err(FailedTry::new(
+            return Err(FailedAttempt::new(
                 RefusalReason::EndpointFailed,
-                "it has ended",
+                "the request has already ended",
             ));
         };
         let share = self.run_share();
         let guard = RunGuard::new(&self.context, &target.id, &self.request.service, share);
-        let left = self.request.time_left(self.context.now());
-        let end = attempt::send(&self.context, &self.request, target, &added, left).await;
-        self.note_sent(&end, EngineArrival::Counted);
-        match end {
-            AttemptEnd::Answered(answer) => {
+        let remaining = self.request.time_left(self.context.now());
+        let outcome = attempt::send(
+            &self.context,
+            &self.request,
+            target,
+            &extra_headers,
+            remaining,
+        )
+        .await;
+        self.note_sent(&outcome, EngineArrival::Counted);
+        match outcome {
+            SendOutcome::Answered(answer) => {
                 self.attempts.answering();
-                self.answered(plan, target, answer, guard, prefill, last_id)
+                self.read_answer(plan, target, answer, guard, prefill, last_id)
                     .await
             }
-            AttemptEnd::NotSent(detail) => {
+            SendOutcome::NotSent(detail) => {
                 self.attempts.not_sent(permit);
-                self.unreachable(target);
-                Err(FailedTry::new(RefusalReason::NoEndpoint, detail))
+                self.note_unreachable(target);
+                Err(FailedAttempt::new(RefusalReason::NoEndpoint, detail))
             }
-            AttemptEnd::NotExecuted { status, is_gone } => {
+            SendOutcome::NotExecuted {
+                status,
+                is_replaced,
+            } => {
                 self.attempts.refused_before_running(permit);
-                self.refused(target, status.as_u16(), is_gone);
+                self.note_refused(target, status.as_u16(), is_replaced);
                 let detail = format!("{} refused with status {status}", target.id);
-                Err(FailedTry::new(RefusalReason::EndpointsFull, detail))
+                Err(FailedAttempt::new(RefusalReason::EndpointsFull, detail))
             }
-            AttemptEnd::MaybeRun(detail) => {
-                self.lost(&target.id);
+            SendOutcome::MaybeRun(detail) => {
+                self.note_possible_run(&target.id);
                 let detail = format!("run at {}: {detail}", target.id);
-                Err(FailedTry::new(RefusalReason::EndpointFailed, detail))
+                Err(FailedAttempt::new(RefusalReason::EndpointFailed, detail))
             }
-            AttemptEnd::TimedOut => {
-                self.lost(&target.id);
-                let detail = format!("run at {}: no answer in time", target.id);
-                Err(FailedTry::new(RefusalReason::TimedOut, detail))
+            SendOutcome::TimedOut => {
+                self.note_possible_run(&target.id);
+                let detail = format!("run at {}: no answer within {remaining}", target.id);
+                Err(FailedAttempt::new(RefusalReason::TimedOut, detail))
             }
         }
     }
 
-    async fn answered(
+    async fn read_answer(
         &mut self,
         plan: &PrefillPlan,
         target: &EndpointTarget,
@@ -391,66 +410,72 @@
         guard: RunGuard,
         prefill: Option<PrefillGuard>,
         last_id: Option<u64>,
-    ) -> Result<TryEnd, FailedTry> {
+    ) -> Result<AttemptOutcome, FailedAttempt> {
         if !attempt::is_signed(answer.response.headers()) {
-            self.lost(&target.id);
-            let detail = format!("status {} without a signature", answer.response.status());
-            return Err(FailedTry::new(RefusalReason::EndpointFailed, detail));
+            self.note_possible_run(&target.id);
+            let detail = format!(
+                "answer with status {} is not signed",
+                answer.response.status()
+            );
+            return Err(FailedAttempt::new(RefusalReason::EndpointFailed, detail));
         }
         if !stream::is_event_stream(&answer.response) {
-            let left = self.request.time_left(self.context.now());
-            let whole = WholeAnswer::read(&self.context, target, answer, left).await;
-            let Some(whole) = whole else {
-                self.lost(&target.id);
-                let detail = "the answer broke off";
-                return Err(FailedTry::new(RefusalReason::EndpointFailed, detail));
+            let remaining = self.request.time_left(self.context.now());
+            let complete = CompleteAnswer::read(&self.context, target, answer, remaining).await;
+            let Some(complete) = complete else {
+                self.note_possible_run(&target.id);
+                let detail = "the answer is incomplete";
+                return Err(FailedAttempt::new(RefusalReason::EndpointFailed, detail));
             };
             self.meter();
             self.attempts.end();
-            return Ok(TryEnd::Whole(whole));
+            return Ok(AttemptOutcome::Complete(complete));
         }
         let (head, body) = answer.response.into_parts();
         let mut events = EventReader::new(body, last_id);
-        let left = self.request.time_left(self.context.now());
-        let (first, is_complete) = match events.next(left.as_duration()).await {
+        let remaining = self.request.time_left(self.context.now());
+        let (first_events, is_complete) = match events.next(remaining.as_duration()).await {
             NextEvents::Events { bytes, .. } => (bytes, false),
             NextEvents::End => (bytes::Bytes::new(), true),
-            NextEvents::Silent => {
-                self.lost(&target.id);
-                return Err(FailedTry::new(RefusalReason::TimedOut, "no event in time"));
+            NextEvents::TimedOut => {
+                self.note_possible_run(&target.id);
+                return Err(FailedAttempt::new(
+                    RefusalReason::TimedOut,
+                    "no event before the deadline",
+                ));
             }
             NextEvents::Broken => {
-                self.lost(&target.id);
-                let detail = "the stream broke off before its first event";
-                return Err(FailedTry::new(RefusalReason::EndpointFailed, detail));
+                self.note_possible_run(&target.id);
+                let detail = "the stream broke before its first event";
+                return Err(FailedAttempt::new(RefusalReason::EndpointFailed, detail));
             }
         };
         if let Some(prefill) = prefill {
-            prefill.done();
+            prefill.finish();
         }
         self.meter();
         let now = self.context.now();
-        request_line(&self.context, "first_event", &self.request)
+        request_log_line(&self.context, "first_event", &self.request)
             .with("prefill", &plan.engine.id)
             .with("run", &target.id)
             .with("held", plan.held)
             .with("prompt", self.work.prompt)
             .with("expected", plan.first_token)
-            .with("asked", self.asked)
+            .with("asked", self.calls)
             .info();
         let elapsed = now.since(self.request.arrived).as_millis() as f64 / 1_000.0;
         let latency = &self.context.metrics.latency;
         latency.with_label_values(&["model"]).observe(elapsed);
-        let began = StreamMark {
+        let first_position = StreamPosition {
             at: now,
             last_id: events.last_id().unwrap_or_default(),
         };
-        Ok(TryEnd::Streaming(Box::new(RunningStream {
+        Ok(AttemptOutcome::Streaming(Box::new(RunningStream {
             head,
             events,
-            began,
-            reached_at: now,
-            first: Some(first),
+            first_position,
+            last_event_at: now,
+            first_events: Some(first_events),
             is_complete,
             connection: Some(answer.connection),
             target: target.clone(),
@@ -465,21 +490,21 @@
         }
     }
 
-    /// The request may have run at `engine`, and its answer is lost.
-    fn lost(&mut self, engine: &EndpointId) {
-        self.runs += 1;
+    /// Records that the request may have run on `engine` and that its answer is lost.
+    fn note_possible_run(&mut self, engine: &EndpointId) {
+        self.possible_runs += 1;
         self.attempts.lost();
-        self.tried.push(engine.clone());
+        self.attempted.push(engine.clone());
         let now = self.context.now();
         self.context.engines.lock().failed(now, engine);
     }
 
-    pub(super) fn refused(&mut self, target: &EndpointTarget, status: u16, is_gone: bool) {
-        self.tried.push(target.id.clone());
+    pub(super) fn note_refused(&mut self, target: &EndpointTarget, status: u16, is_replaced: bool) {
+        self.attempted.push(target.id.clone());
         let now = self.context.now();
         let mut engines = self.context.engines.lock();
         match status {
-            421 if is_gone => {
+            421 if is_replaced => {
                 engines.remove_engine(&target.id);
                 drop(engines);
                 self.context.directory.lock().drop_endpoint(&target.id);
@@ -489,16 +514,17 @@
         }
     }
 
-    /// No connection to the engine could be had. It gets nothing for a while, also
-    /// from the other entries: it is told among those that refuse.
-    pub(super) fn unreachable(&mut self, target: &EndpointTarget) {
-        self.engine_failed(target);
+    /// Records that no connection to the engine could be opened. The engine is excluded
+    /// from selection for a while, also by the other entries: this entry reports it as
+    /// one that refuses requests.
+    pub(super) fn note_unreachable(&mut self, target: &EndpointTarget) {
+        self.note_failed(target);
         let now = self.context.now();
         self.context.engines.lock().refused(now, &target.id);
     }
 
-    pub(super) fn engine_failed(&mut self, target: &EndpointTarget) {
-        self.tried.push(target.id.clone());
+    pub(super) fn note_failed(&mut self, target: &EndpointTarget) {
+        self.attempted.push(target.id.clone());
         let now = self.context.now();
         let ejected = self.context.engines.lock().failed(now, &target.id);
         if let Some(span) = ejected {
@@ -510,23 +536,25 @@
     }
 }
 
-/// What is told a caller for whom there is no engine. Those who would come too late
-/// return when the engines have worked off that much, and not all at the same moment.
-fn no_engine(error: NoEngine) -> FailedTry {
+/// Returns the failure for a request that no engine can take. If the answer would be too
+/// late, the caller may retry after the time that engines need to work off the excess;
+/// jitter keeps the callers from retrying all at once.
+fn no_engine_failure(error: NoEngine) -> FailedAttempt {
     let detail = error.to_string();
     let NoEngine::TooLate { late } = error else {
-        return FailedTry::new(RefusalReason::NoEndpoint, detail);
+        return FailedAttempt::new(RefusalReason::NoEndpoint, detail);
     };
-    let least = late.max(DEFAULT_RETRY_AFTER).as_millis();
-    let spread = rand::rng().random_range(0..=least / 2);
-    FailedTry {
-        retry_after: Some(TimeSpan::from_millis(least + spread)),
-        ..FailedTry::new(RefusalReason::Overloaded, detail)
+    let min_delay = late.max(DEFAULT_RETRY_AFTER).as_millis();
+    let jitter = rand::rng().random_range(0..=min_delay / 2);
+    FailedAttempt {
+        retry_after: Some(TimeSpan::from_millis(min_delay + jitter)),
+        ..FailedAttempt::new(RefusalReason::Overloaded, detail)
     }
 }
 
 impl Drop for GenerationRun {
-    /// Gives back what was paid for calls that never left, also when the caller has gone.
+    /// Refunds the charge for calls that were never sent, also when the caller has
+    /// disconnected.
     fn drop(&mut self) {
         let unused = self.arrivals.unused();
         if unused > 0 {
--- a/crates/ingress/src/forward/guards.rs
+++ b/crates/ingress/src/forward/guards.rs
@@ -1,8 +1,8 @@
-//! Entries in the books that are taken back when a request ends, however it ends.
+//! Guards that revert the load accounting of a request when it ends in any way.
 //!
-//! A caller may leave at any moment, and then the whole handling of its request
-//! is dropped where it stands. Were its entries left in the books, an engine
-//! would look busier for each caller who left, until nothing was sent there.
+//! A caller may disconnect at any time, and the future that handles its request is then
+//! dropped. If its load stayed counted, an engine would appear busier after each
+//! disconnected caller, until it received no requests at all.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 
 use crate::context::EntryContext;
 
-/// A prefill in an engine's queue.
+/// Counts a prefill in the queue of an engine.
 #[derive(Debug)]
 pub struct PrefillGuard {
     context: Arc<EntryContext>,
@@ -24,7 +24,7 @@
 }
 
 impl PrefillGuard {
-    /// The prefill is sent now.
+    /// Records that the prefill is sent now.
     pub fn new(
         context: &Arc<EntryContext>,
         service: &ServiceName,
@@ -44,12 +44,13 @@
         }
     }
 
-    /// The prefill is done.
-    pub fn done(mut self) {
+    /// Records that the prefill is complete, with its duration and the error of the
+    /// estimate.
+    pub fn finish(mut self) {
         if let Some(ticket) = self.ticket.take() {
             let now = self.context.now();
-            let took = now.since(self.sent).as_millis() as f64;
-            let error_ms = (took - self.plan.first_token.as_millis() as f64).abs();
+            let elapsed = now.since(self.sent).as_millis() as f64;
+            let error_ms = (elapsed - self.plan.first_token.as_millis() as f64).abs();
             let metrics = &self.context.metrics;
             metrics.estimate_error.observe(error_ms / 1_000.0);
             let mut engines = self.context.engines.lock();
@@ -68,7 +69,7 @@
     }
 }
 
-/// A request that runs on an engine.
+/// Counts a request that runs on an engine.
 #[derive(Debug)]
 pub struct RunGuard {
     context: Arc<EntryContext>,
@@ -78,7 +79,8 @@
 }
 
 impl RunGuard {
-    /// The request is sent now; it takes `share` of the engine.
+    /// Records that the request is sent now; `share` is the fraction of the engine that
+    /// it takes.
     pub fn new(
         context: &Arc<EntryContext>,
         engine: &EndpointId,
@@ -106,7 +108,7 @@
     }
 }
 
-/// A request that a replica of a plain service has.
+/// Counts a request at a replica of a plain service.
 #[derive(Debug)]
 pub struct ReplicaGuard {
     context: Arc<EntryContext>,
@@ -115,7 +117,7 @@
 }
 
 impl ReplicaGuard {
-    /// The request is sent now.
+    /// Records that the request is sent now.
     pub fn new(context: &Arc<EntryContext>, replica: &EndpointId) -> ReplicaGuard {
         context.replicas.lock().sent(replica);
         ReplicaGuard {
@@ -125,16 +127,19 @@
         }
     }
 
-    /// The replica answered.
+    /// Records that the replica answered, with its response time.
     pub fn answered(mut self) {
         if let Some(replica) = self.replica.take() {
             let now = self.context.now();
-            let took = now.since(self.sent);
-            self.context.replicas.lock().answered(now, &replica, took);
+            let elapsed = now.since(self.sent);
+            self.context
+                .replicas
+                .lock()
+                .answered(now, &replica, elapsed);
         }
     }
 
-    /// The replica failed.
+    /// Records that the replica failed, and logs its ejection if that follows.
     pub fn failed(mut self) {
         if let Some(replica) = self.replica.take() {
             let now = self.context.now();
--- a/crates/ingress/src/forward/mod.rs
+++ b/crates/ingress/src/forward/mod.rs
@@ -1,4 +1,4 @@
-//! Passing requests on to endpoints and their answers back.
+//! Forwards requests to endpoints and their answers to callers.
 
 mod answer;
 mod attempt;
@@ -24,7 +24,7 @@
     time::wall_time,
 };
 
-/// Serves a request.
+/// Forwards a request to an endpoint of its service and returns the answer or a refusal.
 pub async fn serve(context: &Arc<EntryContext>, request: CallerRequest) -> Response<AnswerBody> {
     let now = context.now();
     context.budget.lock().note_request(now, &request.service);
@@ -35,7 +35,7 @@
     }
 }
 
-/// Counts the request for the usage of its organisation: it has begun to run.
+/// Counts a request that has started to run towards the usage of its organisation.
 fn meter(context: &EntryContext, request: &CallerRequest) {
     let Some(organisation) = &request.organisation else {
         return;
@@ -45,8 +45,8 @@
     context.meter.lock().count(window, organisation);
 }
 
-/// A line that names the request and what it is.
-fn request_line(context: &EntryContext, event: &str, request: &CallerRequest) -> LogLine {
+/// Starts a log line with the id and the properties of the request.
+fn request_log_line(context: &EntryContext, event: &str, request: &CallerRequest) -> LogLine {
     let now = context.now();
     let organisation = request.organisation.as_ref();
     LogLine::new(event)
@@ -61,7 +61,7 @@
         .with("elapsed", now.since(request.arrived))
 }
 
-/// Gives a request up.
+/// Refuses a request: counts and logs the refusal and returns the response.
 fn refuse(
     context: &EntryContext,
     request: &CallerRequest,
@@ -77,7 +77,7 @@
     let counters = &context.metrics.answers;
     counters.with_label_values(&[kind, outcome]).inc();
     let retry_after = refusal.retry_after();
-    request_line(context, "given_up", request)
+    request_log_line(context, "given_up", request)
         .with("status", refusal.status())
         .with("reason", refusal.reason())
         .with(
--- a/crates/ingress/src/forward/plain.rs
+++ b/crates/ingress/src/forward/plain.rs
@@ -1,4 +1,4 @@
-//! Requests to plain services.
+//! Requests to plain services, whose replicas are not model engines.
 
 use std::sync::Arc;
 
@@ -13,40 +13,42 @@
 use crate::{
     context::EntryContext,
     forward::{
-        answer::WholeAnswer,
-        attempt::{self, AttemptEnd},
+        answer::CompleteAnswer,
+        attempt::{self, SendOutcome},
         guards::ReplicaGuard,
-        meter, refuse, request_line,
+        meter, refuse, request_log_line,
     },
     frontend::{AnswerBody, CallerRequest, Refusal, RefusalReason},
 };
 
-/// How many replicas are asked at most, counting those that refused.
-const ASKED_LIMIT: usize = 4;
+/// Maximum number of replicas that one request is sent to, including those that refuse.
+const MAX_ATTEMPTS: usize = 4;
 
-/// After how many times its objective an idempotent request is sent elsewhere: a
-/// replica that hangs answers nothing at all.
-const SILENCE_OBJECTIVES: u64 = 4;
+/// Timeout of one attempt of an idempotent request, in multiples of the latency
+/// objective of its route. A replica that hangs never answers, so the request is then
+/// sent to another one.
+const ATTEMPT_TIMEOUT_OBJECTIVES: u64 = 4;
 
-/// The least of that time.
-const SILENCE_LEAST: TimeSpan = TimeSpan::from_millis(300);
+/// Minimum timeout of one attempt of an idempotent request.
+const MIN_ATTEMPT_TIMEOUT: TimeSpan = TimeSpan::from_millis(300);
 
-/// What to do after an attempt.
+/// The step that follows an attempt.
 enum NextStep {
-    Answer(WholeAnswer),
-    TryElsewhere(RefusalReason, String),
-    GiveUp(RefusalReason, String),
+    Answer(CompleteAnswer),
+    Retry(RefusalReason, String),
+    Refuse(RefusalReason, String),
 }
 
+/// The attempts of one request at the replicas of its service.
 struct PlainRun<'a> {
     context: &'a Arc<EntryContext>,
     request: &'a CallerRequest,
     attempts: RequestAttempts,
-    tried: Vec<EndpointId>,
-    /// Replicas that may have run the request.
-    runs: u32,
-    /// The failure that a replica signed, for want of anything better.
-    failure: Option<WholeAnswer>,
+    attempted: Vec<EndpointId>,
+    /// Number of replicas that may have run the request.
+    possible_runs: u32,
+    /// The latest signed failure of a replica, returned if no other replica answers.
+    failed_answer: Option<CompleteAnswer>,
     is_metered: bool,
 }
 
@@ -60,23 +62,24 @@
         context,
         request,
         attempts: RequestAttempts::new(request.id.clone(), kind),
-        tried: Vec::new(),
-        runs: 0,
-        failure: None,
+        attempted: Vec::new(),
+        possible_runs: 0,
+        failed_answer: None,
         is_metered: false,
     };
     loop {
-        let Some(target) = run.choose() else {
-            return run.give_up(RefusalReason::NoEndpoint, "no replica is left");
+        let Some(target) = run.choose_replica() else {
+            return run
+                .respond_failed(RefusalReason::NoEndpoint, "no further replica is available");
         };
         match run.attempt(&target).await {
             NextStep::Answer(answer) => return run.answer(&target, answer),
-            NextStep::GiveUp(reason, detail) => return run.give_up(reason, &detail),
-            NextStep::TryElsewhere(reason, detail) => {
-                if !run.may_repeat(reason) {
-                    return run.give_up(reason, &detail);
+            NextStep::Refuse(reason, detail) => return run.respond_failed(reason, &detail),
+            NextStep::Retry(reason, detail) => {
+                if !run.may_retry(reason) {
+                    return run.respond_failed(reason, &detail);
                 }
-                request_line(context, "sent_elsewhere", request)
+                request_log_line(context, "sent_elsewhere", request)
                     .with("endpoint", &target.id)
                     .with("reason", reason)
                     .with("detail", detail)
@@ -87,15 +90,15 @@
 }
 
 impl PlainRun<'_> {
-    fn choose(&mut self) -> Option<EndpointTarget> {
+    fn choose_replica(&mut self) -> Option<EndpointTarget> {
         let now = self.context.now();
         let directory = self.context.directory.lock();
-        let open = directory.open_for(&self.request.service);
+        let candidates = directory.open_for(&self.request.service);
         let choice = self
             .context
             .replicas
             .lock()
-            .choose(now, open, &self.tried)?;
+            .choose(now, candidates, &self.attempted)?;
         let address = directory.get(&choice.endpoint)?.address;
         Some(EndpointTarget {
             id: choice.endpoint,
@@ -103,109 +106,124 @@
         })
     }
 
-    /// Sends the request to `target`.
+    /// Sends the request to `target` and determines the next step.
     async fn attempt(&mut self, target: &EndpointTarget) -> NextStep {
-        let left = self.request.time_left(self.context.now());
-        if left == TimeSpan::ZERO {
-            return NextStep::GiveUp(RefusalReason::TimedOut, "no time is left".to_string());
+        let remaining = self.request.time_left(self.context.now());
+        if remaining == TimeSpan::ZERO {
+            return NextStep::Refuse(
+                RefusalReason::TimedOut,
+                "the deadline of the request has passed".to_string(),
+            );
         }
         let Ok(permit) = self.attempts.send(&target.id) else {
-            return NextStep::GiveUp(RefusalReason::EndpointFailed, "it has ended".to_string());
+            return NextStep::Refuse(
+                RefusalReason::EndpointFailed,
+                "the request has already ended".to_string(),
+            );
         };
-        self.tried.push(target.id.clone());
+        self.attempted.push(target.id.clone());
         let guard = ReplicaGuard::new(self.context, &target.id);
-        let patience = self.patience(left);
-        let end = attempt::send(self.context, self.request, target, &Vec::new(), patience).await;
-        match end {
-            AttemptEnd::NotSent(detail) => {
+        let timeout = self.attempt_timeout(remaining);
+        let outcome = attempt::send(self.context, self.request, target, &Vec::new(), timeout).await;
+        match outcome {
+            SendOutcome::NotSent(detail) => {
                 self.attempts.not_sent(permit);
                 guard.failed();
-                NextStep::TryElsewhere(RefusalReason::NoEndpoint, detail)
+                NextStep::Retry(RefusalReason::NoEndpoint, detail)
             }
-            AttemptEnd::NotExecuted { status, is_gone } => {
+            SendOutcome::NotExecuted {
+                status,
+                is_replaced,
+            } => {
                 self.attempts.refused_before_running(permit);
-                if is_gone {
+                if is_replaced {
                     self.context.directory.lock().drop_endpoint(&target.id);
                 }
                 guard.failed();
-                NextStep::TryElsewhere(RefusalReason::EndpointsFull, format!("status {status}"))
+                NextStep::Retry(RefusalReason::EndpointsFull, format!("status {status}"))
             }
-            AttemptEnd::MaybeRun(detail) => {
+            SendOutcome::MaybeRun(detail) => {
                 guard.failed();
                 let detail = format!("{}: {detail}", target.id);
-                self.lost(RefusalReason::EndpointFailed, detail)
+                self.note_possible_run(RefusalReason::EndpointFailed, detail)
             }
-            AttemptEnd::TimedOut => {
+            SendOutcome::TimedOut => {
                 guard.failed();
-                let detail = format!("{}: no answer in time", target.id);
-                self.lost(RefusalReason::TimedOut, detail)
+                let detail = format!("{}: no answer within {timeout}", target.id);
+                self.note_possible_run(RefusalReason::TimedOut, detail)
             }
-            AttemptEnd::Answered(answer) => {
+            SendOutcome::Answered(answer) => {
                 self.attempts.answering();
-                let signed = attempt::is_signed(answer.response.headers());
-                let left = self.request.time_left(self.context.now()).min(patience);
-                let whole = WholeAnswer::read(self.context, target, answer, left).await;
-                match whole {
-                    Some(answer) if signed => self.judge(guard, answer),
+                let is_signed = attempt::is_signed(answer.response.headers());
+                let remaining = self.request.time_left(self.context.now()).min(timeout);
+                let complete = CompleteAnswer::read(self.context, target, answer, remaining).await;
+                match complete {
+                    Some(answer) if is_signed => self.handle_answer(guard, answer),
                     Some(answer) => {
                         guard.failed();
-                        let detail = format!("status {} without a signature", answer.status);
-                        self.lost(RefusalReason::EndpointFailed, detail)
+                        let detail = format!("answer with status {} is not signed", answer.status);
+                        self.note_possible_run(RefusalReason::EndpointFailed, detail)
                     }
                     None => {
                         guard.failed();
-                        let detail = "the answer broke off".to_string();
-                        self.lost(RefusalReason::EndpointFailed, detail)
+                        let detail = "the answer is incomplete".to_string();
+                        self.note_possible_run(RefusalReason::EndpointFailed, detail)
                     }
                 }
             }
         }
     }
 
-    /// An idempotent request does not wait for a silent replica until its end.
-    fn patience(&self, left: TimeSpan) -> TimeSpan {
-        let may_repeat = self.request.route.work_kind() == WorkKind::Repeatable
-            && self.runs + 1 < self.request.route.attempts_limit;
-        if !may_repeat {
-            return left;
+    /// Returns the timeout of the next attempt. A request that may be retried does not
+    /// spend all of its `remaining` time on an unresponsive replica.
+    fn attempt_timeout(&self, remaining: TimeSpan) -> TimeSpan {
+        let may_retry = self.request.route.work_kind() == WorkKind::Repeatable
+            && self.possible_runs + 1 < self.request.route.attempts_limit;
+        if !may_retry {
+            return remaining;
         }
-        let objective = self.request.route.objective.times(SILENCE_OBJECTIVES);
-        left.min(objective.max(SILENCE_LEAST))
+        let objective = self
+            .request
+            .route
+            .objective
+            .times(ATTEMPT_TIMEOUT_OBJECTIVES);
+        remaining.min(objective.max(MIN_ATTEMPT_TIMEOUT))
     }
 
-    /// An answer that came whole and signed.
-    fn judge(&mut self, guard: ReplicaGuard, answer: WholeAnswer) -> NextStep {
+    /// Handles a complete and signed answer.
+    fn handle_answer(&mut self, guard: ReplicaGuard, answer: CompleteAnswer) -> NextStep {
         guard.answered();
         self.meter();
-        let may_repeat = self.request.route.work_kind() == WorkKind::Repeatable;
-        if !answer.is_failure() || !may_repeat {
+        let is_repeatable = self.request.route.work_kind() == WorkKind::Repeatable;
+        if !answer.is_failure() || !is_repeatable {
             self.attempts.end();
             return NextStep::Answer(answer);
         }
         let detail = format!("status {}", answer.status);
-        self.failure = Some(answer);
-        self.lost(RefusalReason::EndpointFailed, detail)
+        self.failed_answer = Some(answer);
+        self.note_possible_run(RefusalReason::EndpointFailed, detail)
     }
 
-    /// The request may have run.
-    fn lost(&mut self, reason: RefusalReason, detail: String) -> NextStep {
-        self.runs += 1;
+    /// Records that the request may have run; only a repeatable one is retried.
+    fn note_possible_run(&mut self, reason: RefusalReason, detail: String) -> NextStep {
+        self.possible_runs += 1;
         self.attempts.lost();
         match self.request.route.work_kind() {
-            WorkKind::Repeatable => NextStep::TryElsewhere(reason, detail),
-            WorkKind::AtMostOnce => NextStep::GiveUp(reason, detail),
+            WorkKind::Repeatable => NextStep::Retry(reason, detail),
+            WorkKind::AtMostOnce => NextStep::Refuse(reason, detail),
         }
     }
 
-    fn may_repeat(&mut self, reason: RefusalReason) -> bool {
+    fn may_retry(&mut self, reason: RefusalReason) -> bool {
         let now = self.context.now();
-        if self.tried.len() >= ASKED_LIMIT || self.request.time_left(now) == TimeSpan::ZERO {
+        if self.attempted.len() >= MAX_ATTEMPTS || self.request.time_left(now) == TimeSpan::ZERO {
             return false;
         }
-        if self.runs >= self.request.route.attempts_limit {
+        if self.possible_runs >= self.request.route.attempts_limit {
             return false;
         }
-        // What never left needs no budget: the service has not seen it.
+        // A request that was not sent costs no retry budget: the service did not
+        // receive it.
         if reason == RefusalReason::NoEndpoint {
             return true;
         }
@@ -220,7 +238,7 @@
         }
     }
 
-    fn answer(&self, target: &EndpointTarget, answer: WholeAnswer) -> Response<AnswerBody> {
+    fn answer(&self, target: &EndpointTarget, answer: CompleteAnswer) -> Response<AnswerBody> {
         let metrics = &self.context.metrics;
         let now = self.context.now();
         let elapsed = now.since(self.request.arrived).as_millis() as f64 / 1_000.0;
@@ -232,22 +250,22 @@
             .answers
             .with_label_values(&["plain", "answered"])
             .inc();
-        request_line(self.context, "answered", self.request)
+        request_log_line(self.context, "answered", self.request)
             .with("endpoint", &target.id)
             .with("status", answer.status.as_u16())
-            .with("asked", self.tried.len())
+            .with("asked", self.attempted.len())
             .info();
         answer.into_response()
     }
 
-    fn give_up(&mut self, reason: RefusalReason, detail: &str) -> Response<AnswerBody> {
-        if let Some(failure) = self.failure.take() {
-            request_line(self.context, "answered", self.request)
-                .with("status", failure.status.as_u16())
-                .with("asked", self.tried.len())
+    fn respond_failed(&mut self, reason: RefusalReason, detail: &str) -> Response<AnswerBody> {
+        if let Some(failed_answer) = self.failed_answer.take() {
+            request_log_line(self.context, "answered", self.request)
+                .with("status", failed_answer.status.as_u16())
+                .with("asked", self.attempted.len())
                 .with("detail", detail)
                 .info();
-            return failure.into_response();
+            return failed_answer.into_response();
         }
         let refusal = Refusal::with_outcome(self.attempts.outcome(), reason);
         refuse(self.context, self.request, refusal, detail)
--- a/crates/ingress/src/forward/pool.rs
+++ b/crates/ingress/src/forward/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints that wait for their next request.
+//! Pools of idle connections to endpoints.
 
 use std::{collections::HashMap, net::SocketAddr};
 
@@ -6,9 +6,9 @@
 
 use crate::{context::Shared, forward::connection::EndpointConnection};
 
-/// The most idle connections that are kept for one endpoint: its connections are
-/// shared by all entries.
-const IDLE_LIMIT: usize = 24;
+/// Maximum number of idle connections to one endpoint: all entries share the
+/// connections that an endpoint accepts.
+const MAX_IDLE_CONNECTIONS: usize = 24;
 
 #[derive(Debug)]
 struct EndpointPool {
@@ -16,20 +16,20 @@
     idle: Vec<EndpointConnection>,
 }
 
-/// The idle connections of all endpoints. A pool is of one start of an endpoint:
-/// when the endpoint starts anew or its address changes, the pool is dropped.
+/// The idle connections of all endpoints. A pool belongs to one start of an endpoint:
+/// it is dropped when the endpoint restarts or its address changes.
 #[derive(Debug, Default)]
 pub struct ConnectionPools {
     pools: Shared<HashMap<EndpointId, EndpointPool>>,
 }
 
 impl ConnectionPools {
-    /// No connection.
+    /// Creates a set of empty pools.
     pub fn new() -> ConnectionPools {
         ConnectionPools::default()
     }
 
-    /// The idle connection that was used last, if one is usable.
+    /// Removes and returns the most recently used idle connection that is usable.
     pub fn take(
         &self,
         now: ClockTime,
@@ -42,7 +42,8 @@
         pool.idle.pop()
     }
 
-    /// Puts a connection back whose answer was read to its end.
+    /// Adds a connection whose answer was read to its end, or closes it if the pool of
+    /// the endpoint is full.
     pub fn put(
         &self,
         now: ClockTime,
@@ -50,7 +51,7 @@
         address: SocketAddr,
         mut connection: EndpointConnection,
     ) {
-        connection.rest(now);
+        connection.mark_idle(now);
         let mut pools = self.pools.lock();
         let pool = pools.entry(id.clone()).or_insert_with(|| EndpointPool {
             address,
@@ -60,13 +61,13 @@
             pool.idle.clear();
             pool.address = address;
         }
-        if pool.idle.len() < IDLE_LIMIT {
+        if pool.idle.len() < MAX_IDLE_CONNECTIONS {
             pool.idle.push(connection);
         }
     }
 
-    /// Drops the idle connections of an endpoint.
-    pub fn forget(&self, id: &EndpointId) {
+    /// Closes the idle connections of an endpoint.
+    pub fn remove_endpoint(&self, id: &EndpointId) {
         self.pools.lock().remove(id);
     }
 }
--- a/crates/ingress/src/forward/prefill.rs
+++ b/crates/ingress/src/forward/prefill.rs
@@ -1,7 +1,7 @@
-//! Having a prompt prefilled on an engine that does nothing else.
+//! Prefill of a prompt on an engine of the prefill stage.
 //!
-//! A prefill runs nothing, so it may be repeated whatever the request is; what it
-//! leaves is handed over to the engine that runs the request.
+//! A prefill does not run the request, so it may be repeated for every kind of request.
+//! Its KV cache is handed over to the engine that runs the request.
 
 use bluebell_adapter::{engines, headers};
 use bluebell_core::{
@@ -12,55 +12,63 @@
 
 use crate::{
     forward::{
-        answer::WholeAnswer,
-        attempt::{self, AttemptEnd},
-        generate::{FailedTry, GenerationRun},
+        answer::CompleteAnswer,
+        attempt::{self, SendOutcome},
+        generate::{FailedAttempt, GenerationRun},
         guards::PrefillGuard,
-        request_line,
+        request_log_line,
     },
     frontend::RefusalReason,
 };
 
-/// How long freeing a prefilled prompt may take.
+/// Timeout of the call that frees a prefilled prompt.
 const FREE_TIMEOUT: TimeSpan = TimeSpan::from_millis(500);
 
-/// A prompt that was prefilled and not yet taken over.
+/// A prefilled prompt that no engine has taken over yet.
 #[derive(Clone, Debug)]
 pub struct PrefilledSource {
-    /// Where it was prefilled.
+    /// The plan that it was prefilled by, with the engine that holds it.
     pub plan: PrefillPlan,
-    /// Where its KV cache lies, as the engine that takes it over wants it named.
+    /// The location of its KV cache, in the form that the engine taking it over expects.
     pub source: String,
-    /// How many engines have refused to take it over.
+    /// Number of engines that have refused to take it over.
     pub refusals: u32,
 }
 
 impl GenerationRun {
-    /// Has the prompt prefilled; answers where its KV cache lies. This runs
-    /// nothing, so it may be repeated whatever the request is.
-    pub(super) async fn prefill(&mut self, plan: &PrefillPlan) -> Result<String, FailedTry> {
+    /// Prefills the prompt and returns the location of its KV cache. This does not run
+    /// the request, so it may be repeated for every kind of request.
+    pub(super) async fn prefill(&mut self, plan: &PrefillPlan) -> Result<String, FailedAttempt> {
         let target = &plan.engine;
         let guard = PrefillGuard::new(&self.context, &self.request.service, plan, &self.work);
-        let mut added = self.added_headers(None);
-        added.push((headers::STAGE, headers::STAGE_PREFILL.to_string()));
-        let left = self.request.time_left(self.context.now());
-        self.pay_for_next()?;
-        let end = attempt::send(&self.context, &self.request, target, &added, left).await;
-        self.note_sent(&end, EngineArrival::PrefillDone);
-        let answer = match end {
-            AttemptEnd::Answered(answer) if answer.response.status().is_success() => answer,
-            end => {
+        let mut extra_headers = self.extra_headers(None);
+        extra_headers.push((headers::STAGE, headers::STAGE_PREFILL.to_string()));
+        let remaining = self.request.time_left(self.context.now());
+        self.charge_next_call()?;
+        let outcome = attempt::send(
+            &self.context,
+            &self.request,
+            target,
+            &extra_headers,
+            remaining,
+        )
+        .await;
+        self.note_sent(&outcome, EngineArrival::PrefillDone);
+        let answer = match outcome {
+            SendOutcome::Answered(answer) if answer.response.status().is_success() => answer,
+            outcome => {
                 drop(guard);
-                return Err(self.prefill_failed(target, &end));
+                return Err(self.note_prefill_failed(target, &outcome));
             }
         };
-        let left = self.request.time_left(self.context.now());
-        let whole = WholeAnswer::read(&self.context, target, answer, left).await;
-        let prefilled = whole.and_then(|whole| engines::decode_prefilled(&whole.body).ok());
+        let remaining = self.request.time_left(self.context.now());
+        let complete = CompleteAnswer::read(&self.context, target, answer, remaining).await;
+        let prefilled =
+            complete.and_then(|complete| engines::decode_prefilled(&complete.body).ok());
         match prefilled {
             Some(prompt) => {
-                guard.done();
-                request_line(&self.context, "prefilled", &self.request)
+                guard.finish();
+                request_log_line(&self.context, "prefilled", &self.request)
                     .with("prefill", &target.id)
                     .with("held", plan.held)
                     .with("prompt", self.work.prompt)
@@ -70,38 +78,45 @@
                 Ok(engines::handover_source(target.address, &prompt))
             }
             None => {
-                self.engine_failed(target);
-                let detail = "the prefill's answer broke off";
-                Err(FailedTry::new(RefusalReason::EndpointsFull, detail))
+                self.note_failed(target);
+                let detail = "the prefill answer is incomplete or not decodable";
+                Err(FailedAttempt::new(RefusalReason::EndpointsFull, detail))
             }
         }
     }
 
-    fn prefill_failed(&mut self, target: &EndpointTarget, end: &AttemptEnd) -> FailedTry {
-        let detail = format!("prefill at {}: {}", target.id, end.as_str());
-        match end {
-            AttemptEnd::NotSent(_) => {
-                self.unreachable(target);
-                FailedTry::new(RefusalReason::NoEndpoint, detail)
+    fn note_prefill_failed(
+        &mut self,
+        target: &EndpointTarget,
+        outcome: &SendOutcome,
+    ) -> FailedAttempt {
+        let detail = format!("prefill at {}: {}", target.id, outcome.as_str());
+        match outcome {
+            SendOutcome::NotSent(_) => {
+                self.note_unreachable(target);
+                FailedAttempt::new(RefusalReason::NoEndpoint, detail)
             }
-            AttemptEnd::NotExecuted { status, is_gone } => {
-                self.refused(target, status.as_u16(), *is_gone);
-                FailedTry::new(RefusalReason::EndpointsFull, detail)
+            SendOutcome::NotExecuted {
+                status,
+                is_replaced,
+            } => {
+                self.note_refused(target, status.as_u16(), *is_replaced);
+                FailedAttempt::new(RefusalReason::EndpointsFull, detail)
             }
-            AttemptEnd::TimedOut => {
-                self.engine_failed(target);
-                FailedTry::new(RefusalReason::TimedOut, detail)
+            SendOutcome::TimedOut => {
+                self.note_failed(target);
+                FailedAttempt::new(RefusalReason::TimedOut, detail)
             }
             _ => {
-                self.engine_failed(target);
-                FailedTry::new(RefusalReason::EndpointsFull, detail)
+                self.note_failed(target);
+                FailedAttempt::new(RefusalReason::EndpointsFull, detail)
             }
         }
     }
 
-    /// Frees a prefilled prompt that no engine takes over. Nobody waits for it; if
-    /// it is not heard, the prompt lapses by itself.
-    pub(super) fn free(&self, prefilled: &PrefilledSource) {
+    /// Frees a prefilled prompt that no engine takes over, without waiting for the
+    /// answer. If the call is lost, the prompt expires on its engine.
+    pub(super) fn free_prefilled(&self, prefilled: &PrefilledSource) {
         let client = self.context.engine_client.clone();
         let address = prefilled.plan.engine.address;
         let handle = prefilled
--- a/crates/ingress/src/forward/stream.rs
+++ b/crates/ingress/src/forward/stream.rs
@@ -1,4 +1,4 @@
-//! Streams on their way to the caller.
+//! Event streams that are forwarded to callers.
 
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
@@ -14,53 +14,53 @@
 
 use crate::{
     forward::{
-        answer::caller_headers,
+        answer::end_to_end_headers,
         attempt,
         connection::EndpointConnection,
         events::{EventReader, NextEvents},
         generate::GenerationRun,
         guards::RunGuard,
-        request_line,
+        request_log_line,
     },
-    frontend::{AnswerBody, StreamBroken, stream_body},
+    frontend::{AnswerBody, StreamAborted, stream_body},
 };
 
-/// A point of a stream.
+/// A position in a stream.
 #[derive(Clone, Copy, Debug)]
-pub struct StreamMark {
-    /// When it was reached.
+pub struct StreamPosition {
+    /// When the position was reached.
     pub at: ClockTime,
-    /// The id of the last event up to there.
+    /// The id of the last event up to the position.
     pub last_id: u64,
 }
 
-/// From how many events on the pace of a stream says something.
-const PACED_EVENTS: u64 = 3;
+/// Minimum number of events for a meaningful mean interval between events.
+const MIN_TIMED_EVENTS: u64 = 3;
 
-/// A stream whose first events are there.
+/// A stream whose first events have arrived.
 #[derive(Debug)]
 pub struct RunningStream {
     /// Status and headers.
     pub head: Parts,
-    /// What comes.
+    /// The reader of the following events.
     pub events: EventReader,
-    /// The first events, until they are delivered.
-    pub first: Option<Bytes>,
-    /// When they came, and the id of the last of them.
-    pub began: StreamMark,
-    /// When the newest events came.
-    pub reached_at: ClockTime,
-    /// Whether the stream ended with its first events.
+    /// The first events, until they are forwarded.
+    pub first_events: Option<Bytes>,
+    /// The position after the first events.
+    pub first_position: StreamPosition,
+    /// When the latest events arrived.
+    pub last_event_at: ClockTime,
+    /// Whether the stream came to its proper end.
     pub is_complete: bool,
-    /// The connection that it comes on.
+    /// The connection that carries the stream.
     pub connection: Option<EndpointConnection>,
-    /// The engine.
+    /// The engine that runs the request.
     pub target: EndpointTarget,
-    /// Its entry in the books.
+    /// Counts the request on the engine while the stream exists.
     pub _guard: RunGuard,
 }
 
-/// Whether the answer is a stream of events.
+/// Whether the content type of the answer is that of an event stream.
 pub fn is_event_stream(response: &Response<Incoming>) -> bool {
     let content_type = response.headers().get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
@@ -68,86 +68,86 @@
 }
 
 impl RunningStream {
-    /// The time between two events on average, in ms.
-    fn event_ms(&self) -> Option<f64> {
+    /// The mean interval between events in ms; `None` while there are too few events.
+    fn mean_event_interval(&self) -> Option<f64> {
         let last_id = self.events.last_id().unwrap_or_default();
-        let events = last_id.saturating_sub(self.began.last_id);
-        let took = self.reached_at.since(self.began.at).as_millis();
-        (events >= PACED_EVENTS).then(|| took as f64 / events as f64)
+        let events = last_id.saturating_sub(self.first_position.last_id);
+        let elapsed_ms = self.last_event_at.since(self.first_position.at).as_millis();
+        (events >= MIN_TIMED_EVENTS).then(|| elapsed_ms as f64 / events as f64)
     }
 }
 
 struct StreamState {
     run: GenerationRun,
     running: RunningStream,
-    is_over: bool,
+    has_ended: bool,
 }
 
-/// The answer that passes the stream on.
+/// Returns a response that forwards the stream to the caller.
 pub fn into_response(run: GenerationRun, running: RunningStream) -> Response<AnswerBody> {
     let status = running.head.status;
-    let headers = caller_headers(&running.head.headers);
+    let headers = end_to_end_headers(&running.head.headers);
     let state = StreamState {
         run,
         running,
-        is_over: false,
+        has_ended: false,
     };
-    // The state lives in the body: a caller who leaves drops it, and with it the
-    // connection to the engine, which stops the work there.
-    let pieces = futures::stream::unfold(state, |mut state| async move {
-        let piece = state.next().await?;
-        Some((piece.map(Frame::data), state))
+    // The response body owns the state. When the caller disconnects, the body is dropped
+    // together with the connection to the engine, which stops the work there.
+    let chunks = futures::stream::unfold(state, |mut state| async move {
+        let chunk = state.next().await?;
+        Some((chunk.map(Frame::data), state))
     });
-    let mut response = Response::new(stream_body(pieces));
+    let mut response = Response::new(stream_body(chunks));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
 }
 
 impl StreamState {
-    async fn next(&mut self) -> Option<Result<Bytes, StreamBroken>> {
+    async fn next(&mut self) -> Option<Result<Bytes, StreamAborted>> {
         loop {
-            if self.is_over {
+            if self.has_ended {
                 return None;
             }
-            if let Some(first) = self.running.first.take()
-                && !first.is_empty()
+            if let Some(first_events) = self.running.first_events.take()
+                && !first_events.is_empty()
             {
-                return Some(Ok(first));
+                return Some(Ok(first_events));
             }
             if self.running.is_complete {
                 self.finish();
                 return None;
             }
-            let left = self.run.request.time_left(self.run.context.now());
-            match self.running.events.next(left.as_duration()).await {
+            let remaining = self.run.request.time_left(self.run.context.now());
+            match self.running.events.next(remaining.as_duration()).await {
                 NextEvents::Events { bytes, .. } => {
-                    self.running.reached_at = self.run.context.now();
+                    self.running.last_event_at = self.run.context.now();
                     return Some(Ok(bytes));
                 }
                 NextEvents::End => self.running.is_complete = true,
-                NextEvents::Silent => return Some(Err(self.break_off("timed_out"))),
+                NextEvents::TimedOut => return Some(Err(self.abort("timed_out"))),
                 NextEvents::Broken if !self.resume().await => {
-                    return Some(Err(self.break_off("endpoint_failed")));
+                    return Some(Err(self.abort("endpoint_failed")));
                 }
                 NextEvents::Broken => {}
             }
         }
     }
 
-    /// Goes on elsewhere. The connection to the engine is closed first, so that
-    /// two don't work on one request.
+    /// Continues the stream on another engine. The connection to the failed engine is
+    /// closed first, so that two engines do not run the request at the same time.
     async fn resume(&mut self) -> bool {
         self.running.connection = None;
-        let left = self.run.request.time_left(self.run.context.now());
-        if left == TimeSpan::ZERO {
+        let remaining = self.run.request.time_left(self.run.context.now());
+        if remaining == TimeSpan::ZERO {
             return false;
         }
         let last_id = self.running.events.last_id();
         let failed = self.running.target.id.clone();
         match self.run.resume(&failed, last_id).await {
             Some(running) => {
-                request_line(&self.run.context, "stream_resumed", &self.run.request)
+                request_log_line(&self.run.context, "stream_resumed", &self.run.request)
                     .with("from", failed)
                     .with("to", &running.target.id)
                     .with("after_event", last_id.unwrap_or_default())
@@ -160,14 +160,14 @@
     }
 
     fn finish(&mut self) {
-        self.is_over = true;
+        self.has_ended = true;
         self.run.end();
         let context = &self.run.context;
         if let Some(connection) = self.running.connection.take() {
-            attempt::keep(context, &self.running.target, connection);
+            attempt::return_to_pool(context, &self.running.target, connection);
         }
         let now = context.now();
-        if let Some(event_ms) = self.running.event_ms() {
+        if let Some(event_ms) = self.running.mean_event_interval() {
             let service = &self.run.request.service;
             let mut demands = context.demands.lock();
             demands.stream_paced(now, service, event_ms);
@@ -181,14 +181,14 @@
             .answers
             .with_label_values(&["model", "answered"])
             .inc();
-        request_line(context, "stream_ended", &self.run.request)
+        request_log_line(context, "stream_ended", &self.run.request)
             .with("run", &self.running.target.id)
-            .with("asked", self.run.asked)
+            .with("asked", self.run.calls)
             .info();
     }
 
-    fn break_off(&mut self, outcome: &str) -> StreamBroken {
-        self.is_over = true;
+    fn abort(&mut self, outcome: &str) -> StreamAborted {
+        self.has_ended = true;
         self.run.end();
         let context = &self.run.context;
         context
@@ -196,7 +196,7 @@
             .answers
             .with_label_values(&["model", outcome])
             .inc();
-        request_line(context, "stream_broken_off", &self.run.request)
+        request_log_line(context, "stream_broken_off", &self.run.request)
             .with("run", &self.running.target.id)
             .with("reason", outcome)
             .with(
@@ -204,6 +204,6 @@
                 self.running.events.last_id().unwrap_or_default(),
             )
             .info();
-        StreamBroken
+        StreamAborted
     }
 }
--- a/crates/ingress/src/frontend/body.rs
+++ b/crates/ingress/src/frontend/body.rs
@@ -9,10 +9,10 @@
 /// that what it got does not look complete.
 #[derive(Debug, thiserror::Error)]
 #[error("the endpoint's answer broke off")]
-pub struct StreamBroken;
+pub struct StreamAborted;
 
 /// The body of an answer.
-pub type AnswerBody = UnsyncBoxBody<Bytes, StreamBroken>;
+pub type AnswerBody = UnsyncBoxBody<Bytes, StreamAborted>;
 
 /// A body that is known as a whole.
 pub fn full_body(bytes: Bytes) -> AnswerBody {
@@ -29,7 +29,7 @@
 /// A body that comes piece by piece.
 pub fn stream_body<Pieces>(pieces: Pieces) -> AnswerBody
 where
-    Pieces: Stream<Item = Result<Frame<Bytes>, StreamBroken>> + Send + 'static,
+    Pieces: Stream<Item = Result<Frame<Bytes>, StreamAborted>> + Send + 'static,
 {
     StreamBody::new(pieces).boxed_unsync()
 }
--- a/crates/ingress/src/frontend/mod.rs
+++ b/crates/ingress/src/frontend/mod.rs
@@ -16,7 +16,7 @@
 use hyper::{Request, Response, body::Incoming};
 
 pub use self::{
-    body::{AnswerBody, StreamBroken, empty_body, full_body, stream_body},
+    body::{AnswerBody, StreamAborted, empty_body, full_body, stream_body},
     listener::FrontendServer,
     refusal::{DEFAULT_RETRY_AFTER, Refusal, RefusalReason},
     request::CallerRequest,
--- a/crates/ingress/src/frontend/request.rs
+++ b/crates/ingress/src/frontend/request.rs
@@ -239,12 +239,12 @@
 /// The headers that go on: not those of the connection, not the key, not the
 /// length, which is set anew, and none that only the system may set.
 fn forwarded(received: &HeaderMap) -> HeaderMap {
-    let named = hop_headers::named(received);
+    let named = hop_headers::connection_options(received);
     let is_dropped = |name: &HeaderName| {
-        hop_headers::is_hop(name)
+        hop_headers::is_hop_by_hop(name)
             || FRAMING_HEADERS.contains(name)
             || headers::SYSTEM_HEADERS.contains(&name.as_str())
-            || (named.iter().any(|hop_headers| hop_headers == name.as_str()) && !is_needed(name))
+            || (named.iter().any(|option| option == name.as_str()) && !is_needed(name))
     };
     let mut kept = HeaderMap::with_capacity(received.len());
     for (name, value) in received {
--- a/crates/ingress/src/hop_headers.rs
+++ b/crates/ingress/src/hop_headers.rs
@@ -6,7 +6,7 @@
 };
 
 /// The headers that always concern one connection only.
-const HOP_HEADERS: [HeaderName; 9] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     TRANSFER_ENCODING,
     HeaderName::from_static("keep-alive"),
@@ -19,12 +19,12 @@
 ];
 
 /// Whether the header always concerns one connection only.
-pub fn is_hop(name: &HeaderName) -> bool {
-    HOP_HEADERS.contains(name)
+pub fn is_hop_by_hop(name: &HeaderName) -> bool {
+    HOP_BY_HOP_HEADERS.contains(name)
 }
 
 /// The headers that `Connection` names besides, in lower case.
-pub fn named(headers: &HeaderMap) -> Vec<String> {
+pub fn connection_options(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all(CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
     let names = texts.flat_map(|text| text.split(','));
