--- a/crates/ingress/src/frontend/body.rs
+++ b/crates/ingress/src/frontend/body.rs
@@ -1,35 +1,35 @@
-//! Bodies of answers to callers.
+//! Bodies of responses to callers.
 
 use bytes::Bytes;
 use futures::Stream;
 use http_body_util::{BodyExt, Full, StreamBody, combinators::UnsyncBoxBody};
 use hyper::body::Frame;
 
-/// A stream that ends without its end: the caller's connection is broken off, so
-/// that what it got does not look complete.
+/// A stream that ended prematurely. The caller's connection is aborted, so that the
+/// truncated answer does not appear complete.
 #[derive(Debug, thiserror::Error)]
-#[error("the endpoint's answer broke off")]
+#[error("the answer of the endpoint ended prematurely")]
 pub struct StreamAborted;
 
-/// The body of an answer.
+/// The body of a response.
 pub type AnswerBody = UnsyncBoxBody<Bytes, StreamAborted>;
 
-/// A body that is known as a whole.
+/// Returns a body of known length.
 pub fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// No body.
+/// Returns an empty body.
 pub fn empty_body() -> AnswerBody {
     full_body(Bytes::new())
 }
 
-/// A body that comes piece by piece.
-pub fn stream_body<Pieces>(pieces: Pieces) -> AnswerBody
+/// Returns a body that is streamed frame by frame.
+pub fn stream_body<Frames>(frames: Frames) -> AnswerBody
 where
-    Pieces: Stream<Item = Result<Frame<Bytes>, StreamAborted>> + Send + 'static,
+    Frames: Stream<Item = Result<Frame<Bytes>, StreamAborted>> + Send + 'static,
 {
-    StreamBody::new(pieces).boxed_unsync()
+    StreamBody::new(frames).boxed_unsync()
 }
--- a/crates/ingress/src/frontend/listener.rs
+++ b/crates/ingress/src/frontend/listener.rs
@@ -1,4 +1,4 @@
-//! Callers' connections.
+//! Listener for the connections of callers.
 
 use std::{
     convert::Infallible,
@@ -21,46 +21,47 @@
 
 use crate::{context::EntryContext, frontend};
 
-/// Connections that may wait to be accepted. An opening packet that finds the
-/// queue full is sent again after a second, which is all that callers wait.
-const ACCEPT_QUEUE: i32 = 1_024;
+/// Length of the accept queue. A SYN packet that meets a full queue is retransmitted
+/// only after a second, which is as long as callers wait.
+const ACCEPT_BACKLOG: i32 = 1_024;
 
-/// The most connections of callers at once: of some 3,900 descriptors the rest is
-/// for endpoints, store and peers.
-const CONNECTIONS_LIMIT: usize = 2_800;
+/// Maximum number of open caller connections: of some 3,900 file descriptors, the rest
+/// is for endpoints, the store and peers.
+const MAX_CONNECTIONS: usize = 2_800;
 
-/// How long a connection may be idle where no configuration says so.
+/// Idle timeout of connections while no configuration is available.
 const IDLE_TIMEOUT: TimeSpan = TimeSpan::from_secs(15);
 
-/// When a silent caller is asked whether it is there, and how often.
+/// Idle time of a connection before the first TCP keep-alive probe.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(5);
+/// Interval between TCP keep-alive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long sent bytes may stay unacknowledged before the caller is taken to be
-/// gone.
-const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(8);
+/// How long sent bytes may stay unacknowledged before the connection is closed.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// The pause of a listener that can't accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed `accept`.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How long after the front was closed a connection may be without a request:
-/// callers are some ms away, and what they sent by then must not be cut off.
-const FIRST_REQUEST_WAIT: Duration = Duration::from_millis(100);
+/// How long a connection without a request stays open after the frontend was closed.
+/// Callers are a few ms away, and a request that was already sent must not be lost.
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(100);
 
-/// Room in the read buffer beyond the largest head.
-const HEAD_SLACK: usize = 16_384;
+/// Size of the read buffer beyond the largest request head, in bytes.
+const READ_BUFFER_MARGIN: usize = 16_384;
 
-/// The address for callers and the connections on it.
+/// The server for callers: its listener and the connections that it accepted.
 #[derive(Clone, Debug)]
 pub struct FrontendServer {
     context: Arc<EntryContext>,
     connections: TaskTracker,
-    open: Arc<AtomicUsize>,
+    open_connections: Arc<AtomicUsize>,
     closing: CancellationToken,
 }
 
 impl FrontendServer {
-    /// Listens, and serves who connects until [`FrontendServer::close`].
+    /// Binds the address for callers and serves connections until
+    /// [`FrontendServer::close`]. Fails if the address can't be bound.
     pub fn bind(context: Arc<EntryContext>) -> io::Result<FrontendServer> {
         let address = context.settings.callers_address;
         let socket = Socket::new(
@@ -71,12 +72,12 @@
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
         socket.bind(&address.into())?;
-        socket.listen(ACCEPT_QUEUE)?;
+        socket.listen(ACCEPT_BACKLOG)?;
         let listener = TcpListener::from_std(StdListener::from(socket))?;
         let frontend = FrontendServer {
             context,
             connections: TaskTracker::new(),
-            open: Arc::new(AtomicUsize::new(0)),
+            open_connections: Arc::new(AtomicUsize::new(0)),
             closing: CancellationToken::new(),
         };
         frontend
@@ -85,36 +86,37 @@
         Ok(frontend)
     }
 
-    /// Takes no new connections, closes those without a request, and each other
-    /// one after its answer.
+    /// Stops accepting connections, closes those without a request, and closes each other
+    /// connection after its current answer.
     pub fn close(&self) {
         self.closing.cancel();
     }
 
-    fn take(&self, stream: TcpStream) {
-        if self.open.load(Ordering::Relaxed) >= CONNECTIONS_LIMIT {
+    fn accept_connection(&self, stream: TcpStream) {
+        if self.open_connections.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
             LogLine::new("connection_refused")
-                .with("open", CONNECTIONS_LIMIT)
+                .with("open", MAX_CONNECTIONS)
                 .warn();
             return;
         }
-        self.open.fetch_add(1, Ordering::Relaxed);
+        self.open_connections.fetch_add(1, Ordering::Relaxed);
         self.connections.spawn(serve(self.clone(), stream));
     }
 
-    /// Waits until no connection is left.
+    /// Waits until all connections are closed.
     pub async fn wait_closed(&self) {
         self.connections.close();
         self.connections.wait().await;
     }
 }
 
-/// Accepts connections until the front is closed; then the address is given up.
+/// Accepts connections until the frontend is closed, then closes the listener.
 ///
-/// A listener that outlives its last `accept` still takes connections: the kernel
-/// does. Their callers wait for an answer until the process ends, some seconds
-/// later, and get none. So those who wait are taken in, and the address is closed:
-/// who comes later is turned away at once and goes elsewhere.
+/// While a listener is open, the kernel completes connections even if the process no
+/// longer calls `accept`. Their callers would wait without an answer until the process
+/// ends some seconds later. The connections that are already queued are therefore
+/// accepted before the listener is closed; later ones are refused immediately and go to
+/// another instance.
 async fn accept(frontend: FrontendServer, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
@@ -122,28 +124,28 @@
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((stream, _)) => frontend.take(stream),
+            Ok((stream, _)) => frontend.accept_connection(stream),
             Err(error) => {
                 LogLine::new("accept_failed").with("error", error).warn();
-                // Descriptors may have run out; the next try may find some.
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                // File descriptors may be exhausted; the next attempt may succeed.
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
-    if let Err(error) = take_waiting(&frontend, listener) {
+    if let Err(error) = accept_pending(&frontend, listener) {
         LogLine::new("accept_failed").with("error", error).warn();
     }
 }
 
-/// Takes the connections that the kernel holds. The runtime's listener may not have
-/// been told of them yet, so the socket is asked itself.
-fn take_waiting(frontend: &FrontendServer, listener: TcpListener) -> io::Result<()> {
+/// Accepts the connections queued in the kernel. The asynchronous listener may not have
+/// been notified of them yet, so `accept` is called on the socket directly.
+fn accept_pending(frontend: &FrontendServer, listener: TcpListener) -> io::Result<()> {
     let listener = listener.into_std()?;
     loop {
         match listener.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(true)?;
-                frontend.take(TcpStream::from_std(stream)?);
+                frontend.accept_connection(TcpStream::from_std(stream)?);
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
             Err(error) => return Err(error),
@@ -152,35 +154,37 @@
 }
 
 async fn serve(frontend: FrontendServer, stream: TcpStream) {
-    if let Err(error) = prepare(&stream) {
+    if let Err(error) = configure_socket(&stream) {
         LogLine::new("connection_not_prepared")
             .with("error", error)
             .warn();
     }
     let limits = {
-        let belief = frontend.context.configuration.lock();
-        belief.table().map(|table| table.configuration().limits)
+        let configuration = frontend.context.configuration.lock();
+        configuration
+            .table()
+            .map(|table| table.configuration().limits)
     };
-    let idle = limits.map_or(IDLE_TIMEOUT, |limits| {
+    let idle_timeout = limits.map_or(IDLE_TIMEOUT, |limits| {
         limits.idle_timeout.max(limits.head_timeout)
     });
-    let head = limits.map_or(HEAD_SLACK, |limits| limits.head.count() as usize);
+    let max_head_bytes = limits.map_or(READ_BUFFER_MARGIN, |limits| limits.head.count() as usize);
     let context = Arc::clone(&frontend.context);
     let service = service_fn(move |request| {
         let context = Arc::clone(&context);
-        async move { Ok::<_, Infallible>(frontend::answer(context, request).await) }
+        async move { Ok::<_, Infallible>(frontend::serve_request(context, request).await) }
     });
-    // The library counts the time between requests into the time for a head, so
-    // the longer of the two limits holds for both.
+    // hyper includes the idle time between requests in the header read timeout, so the
+    // longer of the two limits applies to both.
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(idle.as_duration())
-        .max_buf_size(head + HEAD_SLACK)
+        .header_read_timeout(idle_timeout.as_duration())
+        .max_buf_size(max_head_bytes + READ_BUFFER_MARGIN)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = closed(&frontend) => {
+        () = idle_close_due(&frontend) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -188,22 +192,22 @@
     if let Err(error) = ended {
         log::debug!("event=caller_connection_ended error={error:?}");
     }
-    frontend.open.fetch_sub(1, Ordering::Relaxed);
+    frontend.open_connections.fetch_sub(1, Ordering::Relaxed);
 }
 
-/// Waits until connections without a request are to be closed. One that was opened
-/// just before the front was closed has its first request on the way.
-async fn closed(frontend: &FrontendServer) {
+/// Waits until connections without a request are due to be closed. The first request of a
+/// connection that was opened just before the frontend was closed may still be in flight.
+async fn idle_close_due(frontend: &FrontendServer) {
     frontend.closing.cancelled().await;
-    tokio::time::sleep(FIRST_REQUEST_WAIT).await;
+    tokio::time::sleep(FIRST_REQUEST_GRACE).await;
 }
 
-fn prepare(stream: &TcpStream) -> io::Result<()> {
+fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_IDLE)
         .with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
--- a/crates/ingress/src/frontend/mod.rs
+++ b/crates/ingress/src/frontend/mod.rs
@@ -1,9 +1,9 @@
-//! Callers: their connections, their requests, and the answers they get.
+//! The server for callers: connections, requests and responses.
 //!
-//! Rocket goes on running a handler whose caller has left and rewrites what it
-//! passes on. Here a caller who leaves must stop the work at the endpoint at once,
-//! and answers go on byte by byte as they came, so the front is on the HTTP
-//! library below Rocket; Rocket serves the pages about the process.
+//! Rocket continues to run a handler after its caller has disconnected, and modifies
+//! forwarded responses. Here a disconnect must stop the work at the endpoint immediately,
+//! and answers are forwarded byte for byte, so the frontend uses hyper, the HTTP library
+//! below Rocket. Rocket serves the operational pages of the process.
 
 mod body;
 mod listener;
@@ -23,33 +23,34 @@
 };
 use crate::{context::EntryContext, forward};
 
-/// Counts a request as open while it exists.
-struct OpenRequest<'a>(&'a EntryContext);
+/// Counts a request as open while the guard exists.
+struct OpenRequestGuard<'a>(&'a EntryContext);
 
-impl<'a> OpenRequest<'a> {
-    fn new(context: &'a EntryContext) -> OpenRequest<'a> {
+impl<'a> OpenRequestGuard<'a> {
+    fn new(context: &'a EntryContext) -> OpenRequestGuard<'a> {
         context.metrics.requests_open.inc();
-        OpenRequest(context)
+        OpenRequestGuard(context)
     }
 }
 
-impl Drop for OpenRequest<'_> {
+impl Drop for OpenRequestGuard<'_> {
     fn drop(&mut self) {
         self.0.metrics.requests_open.dec();
     }
 }
 
-/// Answers one request.
-pub async fn answer(
+/// Reads one request, forwards it to an endpoint and returns the response. While the
+/// process stops, the response asks the caller to close its connection.
+pub async fn serve_request(
     context: Arc<EntryContext>,
     incoming: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let _open = OpenRequest::new(&context);
+    let _guard = OpenRequestGuard::new(&context);
     let mut response = match request::read(&context, incoming).await {
         Ok(request) => forward::serve(&context, request).await,
         Err(refusal) => {
             let line = LogLine::new("refused")
-                .with("request", refusal.request_text())
+                .with("request", refusal.request_id_text())
                 .with("status", refusal.status())
                 .with("reason", refusal.reason());
             line.info();
--- a/crates/ingress/src/frontend/refusal.rs
+++ b/crates/ingress/src/frontend/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of our own: what a caller is told when its request is given up.
+//! Refusals: the responses to requests that no endpoint answers.
 
 use std::fmt;
 
@@ -14,47 +14,48 @@
 
 use crate::frontend::body::{AnswerBody, full_body};
 
-/// When a caller may come back if nothing better is known: a failed endpoint is
-/// back, or another one known, within this time more often than not.
+/// Default delay after which a caller may retry. Within this time a failed endpoint has
+/// usually recovered, or another one has been discovered.
 pub const DEFAULT_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(400);
 
-/// Why a request was given up.
+/// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
     /// No configuration has been read yet.
     NoConfiguration,
-    /// The configuration in force has been replaced, and the newer one is not here.
+    /// The configuration in force has been superseded, and the newer version has not
+    /// been read yet.
     ConfigurationOutdated,
-    /// Nothing has been heard of withdrawn keys for too long.
+    /// The list of withdrawn keys has not been confirmed for too long.
     KeysStale,
-    /// No route takes the request.
+    /// No route matches the request.
     NoRoute,
-    /// The key is not known.
+    /// The API key is unknown.
     UnknownKey,
-    /// The request is not proper.
+    /// The request is malformed.
     Malformed,
-    /// The body is larger than the operator allows.
+    /// The body exceeds the configured size limit.
     TooLarge,
-    /// The body did not come in time.
+    /// The body did not arrive before the deadline.
     BodyTooSlow,
-    /// Too many bytes of requests are held already.
+    /// The body exceeds the memory available per open request.
     OutOfMemory,
-    /// No endpoint can take it.
+    /// No endpoint is available.
     NoEndpoint,
-    /// No endpoint could begin it in time.
+    /// No endpoint could start the request in time.
     Overloaded,
-    /// Every endpoint that was asked refused.
+    /// Every attempted endpoint refused the request.
     EndpointsFull,
-    /// Its endpoint failed; it may have run.
+    /// The endpoint failed; the request may have run.
     EndpointFailed,
-    /// The time is over; it may have run.
+    /// The deadline has passed; the request may have run.
     TimedOut,
-    /// The time is over; it has not run.
+    /// The deadline has passed; the request has not run.
     TimedOutNotRun,
 }
 
 impl RefusalReason {
-    /// The reason in logs and metrics.
+    /// The label of the reason in logs, metrics and response bodies.
     pub const fn as_str(self) -> &'static str {
         match self {
             RefusalReason::NoConfiguration => "no_configuration",
@@ -82,7 +83,7 @@
     }
 }
 
-/// An answer of our own.
+/// A refusal of a request, with its status and its retry delay.
 #[derive(Clone, Debug)]
 pub struct Refusal {
     request: String,
@@ -92,9 +93,9 @@
 }
 
 impl Refusal {
-    /// The request is not one that is served: no status that says "not run" is
-    /// needed, and coming back is no use.
-    pub fn improper(reason: RefusalReason) -> Refusal {
+    /// Creates a refusal of a request that can't be served. Its status need not state
+    /// that the request did not run, and a retry is useless.
+    pub fn invalid_request(reason: RefusalReason) -> Refusal {
         let status = match reason {
             RefusalReason::NoRoute => StatusCode::NOT_FOUND,
             RefusalReason::UnknownKey => StatusCode::UNAUTHORIZED,
@@ -104,17 +105,19 @@
         Refusal::new(status, reason, None)
     }
 
-    /// The request was never given to an endpoint; it may come back.
+    /// Creates a refusal of a request that was not sent to an endpoint; the caller may
+    /// retry it after `retry_after`.
     pub fn before_sending(reason: RefusalReason, retry_after: TimeSpan) -> Refusal {
         Refusal::new(StatusCode::SERVICE_UNAVAILABLE, reason, Some(retry_after))
     }
 
-    /// The proof says that the request has not run; it may come back.
+    /// Creates a refusal of a request that has not run, as the proof states; the caller
+    /// may retry it after `retry_after`.
     pub fn not_run(_proof: NotRun, reason: RefusalReason, retry_after: TimeSpan) -> Refusal {
         Refusal::new(StatusCode::SERVICE_UNAVAILABLE, reason, Some(retry_after))
     }
 
-    /// The request is given up, whatever its outcome allows to say.
+    /// Creates a refusal whose status depends on whether the request may have run.
     pub fn with_outcome(outcome: RunOutcome, reason: RefusalReason) -> Refusal {
         match (outcome, reason) {
             (RunOutcome::NotRun(proof), RefusalReason::TimedOut) => {
@@ -137,40 +140,43 @@
         }
     }
 
-    /// Says when to come back, if that is said at all and something better than the
-    /// default is known.
-    pub fn with_retry_after(mut self, better: Option<TimeSpan>) -> Refusal {
-        self.retry_after = self.retry_after.map(|default| better.unwrap_or(default));
+    /// Replaces the default retry delay if `retry_after` has a value. A refusal without a
+    /// retry delay stays without one.
+    pub fn with_retry_after(mut self, retry_after: Option<TimeSpan>) -> Refusal {
+        self.retry_after = self
+            .retry_after
+            .map(|default| retry_after.unwrap_or(default));
         self
     }
 
-    /// Names the request, for the log.
+    /// Adds the request id for the log, limited to 64 characters.
     pub fn with_request(mut self, request: &str) -> Refusal {
         self.request = request.chars().take(64).collect();
         self
     }
 
-    /// The request's id as the caller wrote it.
-    pub fn request_text(&self) -> &str {
+    /// The request id as the caller sent it, limited to 64 characters.
+    pub fn request_id_text(&self) -> &str {
         &self.request
     }
 
-    /// The status.
+    /// The HTTP status.
     pub fn status(&self) -> u16 {
         self.status.as_u16()
     }
 
-    /// Why.
+    /// Why the request was refused.
     pub fn reason(&self) -> RefusalReason {
         self.reason
     }
 
-    /// When the caller may come back.
+    /// The delay after which the caller may retry; `None` if a retry is useless or the
+    /// request may have run.
     pub fn retry_after(&self) -> Option<TimeSpan> {
         self.retry_after
     }
 
-    /// The answer.
+    /// Converts the refusal into the response to the caller.
     pub fn into_response(self) -> Response<AnswerBody> {
         let body = format!("{{\"error\":\"{}\"}}\n", self.reason);
         let mut response = Response::new(full_body(Bytes::from(body)));
--- a/crates/ingress/src/frontend/request.rs
+++ b/crates/ingress/src/frontend/request.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request: its route, its key, its time, its body.
+//! Reads the requests of callers: route, API key, deadline and body.
 
 use std::sync::Arc;
 
@@ -24,14 +24,15 @@
     hop_headers,
 };
 
-/// When a caller may come back if this entry knows nothing yet or too little.
-const KNOWLEDGE_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(600);
+/// Delay after which a caller may retry if the configuration or the withdrawn keys are
+/// missing or out of date here.
+const SYNC_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(600);
 
-/// The most bytes of bodies that are held at once: a quarter of the instance's
-/// memory, given in MB.
-const BODIES_SHARE: u64 = 4;
+/// Divisor of the instance's memory for request bodies: a quarter may hold bodies.
+const BODY_MEMORY_DIVISOR: u64 = 4;
 
-/// The headers that this entry sets anew or keeps to itself.
+/// Headers of callers that are not forwarded: the entry sets them itself or only reads
+/// them.
 const FRAMING_HEADERS: [HeaderName; 4] = [
     AUTHORIZATION,
     CONTENT_LENGTH,
@@ -39,94 +40,97 @@
     HeaderName::from_static(headers::DEADLINE_MS),
 ];
 
-/// A request that is to be served.
+/// A request that was read completely and is allowed.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// The caller's id of this attempt.
+    /// The attempt id that the caller assigned.
     pub id: RequestId,
     /// The method.
     pub method: Method,
-    /// The path with its query, unchanged.
+    /// The path with the query, unchanged.
     pub target: String,
-    /// The headers that go on to the endpoint.
+    /// The headers that are forwarded to the endpoint.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// The route.
+    /// The route that matches the request.
     pub route: Arc<RouteRule>,
-    /// The configuration that it was read under.
+    /// The route table of the configuration that was in force when the request arrived.
     pub table: Arc<RouteTable>,
-    /// The service that it goes to.
+    /// The service that the request is forwarded to.
     pub service: ServiceName,
-    /// Whose key came with it.
+    /// The organisation that the API key belongs to; `None` without authentication.
     pub organisation: Option<OrganisationId>,
-    /// Its urgency, 0 being the first.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// Its prompt, if it has one.
+    /// The token counts and the prefix of the prompt, for model services only.
     pub work: Option<PromptWork>,
-    /// When its head was read.
+    /// When the request head was read.
     pub arrived: ClockTime,
-    /// When it must have its final answer.
-    pub limit: ClockTime,
+    /// When the final answer is due.
+    pub deadline: ClockTime,
 }
 
 impl CallerRequest {
-    /// The time that is left.
+    /// The time left until the deadline.
     pub fn time_left(&self, now: ClockTime) -> TimeSpan {
-        self.limit.since(now)
+        self.deadline.since(now)
     }
 }
 
-/// Reads a request, or says why it is not served.
+/// Reads and authorises a request, or returns the refusal.
 pub async fn read(
     context: &EntryContext,
     incoming: Request<Incoming>,
 ) -> Result<CallerRequest, Refusal> {
     let arrived = context.now();
     let (head, body) = incoming.into_parts();
-    let id = text(&head.headers, headers::ATTEMPT_ID)
+    let id = header_text(&head.headers, headers::ATTEMPT_ID)
         .unwrap_or_default()
         .to_string();
-    let named = |refusal: Refusal| refusal.with_request(&id);
-    let unknown = |reason| named(Refusal::before_sending(reason, KNOWLEDGE_RETRY_AFTER));
+    let with_id = |refusal: Refusal| refusal.with_request(&id);
+    let not_synced = |reason| with_id(Refusal::before_sending(reason, SYNC_RETRY_AFTER));
     let table = context.configuration.lock().table().cloned();
-    let table = table.ok_or_else(|| unknown(RefusalReason::NoConfiguration))?;
+    let table = table.ok_or_else(|| not_synced(RefusalReason::NoConfiguration))?;
     if context.configuration_is_outdated(arrived) {
-        return Err(unknown(RefusalReason::ConfigurationOutdated));
+        return Err(not_synced(RefusalReason::ConfigurationOutdated));
     }
-    let improper = |reason| named(Refusal::improper(reason));
-    let host = text(&head.headers, HOST.as_str()).unwrap_or_default();
+    let invalid_request = |reason| with_id(Refusal::invalid_request(reason));
+    let host = header_text(&head.headers, HOST.as_str()).unwrap_or_default();
     let host = host
         .split(':')
         .next()
         .unwrap_or_default()
         .to_ascii_lowercase();
     let route = table.find(&host, head.uri.path());
-    let route = Arc::clone(route.ok_or_else(|| improper(RefusalReason::NoRoute))?);
+    let route = Arc::clone(route.ok_or_else(|| invalid_request(RefusalReason::NoRoute))?);
     let organisation =
-        organisation(context, &table, &route, &head.headers, arrived).map_err(named)?;
-    let request_id = RequestId::new(id.as_str()).map_err(|_| improper(RefusalReason::Malformed))?;
+        authorise(context, &table, &route, &head.headers, arrived).map_err(with_id)?;
+    let request_id =
+        RequestId::new(id.as_str()).map_err(|_| invalid_request(RefusalReason::Malformed))?;
     let service = pick_service(&route).ok_or_else(|| {
-        named(Refusal::before_sending(
+        with_id(Refusal::before_sending(
             RefusalReason::NoEndpoint,
             DEFAULT_RETRY_AFTER,
         ))
     })?;
     let rule = table.service(&service);
     let work = match rule.is_some_and(|rule| rule.engine.is_some()) {
-        true => Some(prompt(&head.headers).map_err(|()| improper(RefusalReason::Malformed))?),
+        true => {
+            Some(prompt(&head.headers).map_err(|()| invalid_request(RefusalReason::Malformed))?)
+        }
         false => None,
     };
-    let deadline = text(&head.headers, headers::DEADLINE_MS);
-    let deadline = deadline.and_then(|value| value.trim().parse::<u64>().ok());
-    let patience = deadline
+    let deadline_ms = header_text(&head.headers, headers::DEADLINE_MS);
+    let deadline_ms = deadline_ms.and_then(|value| value.trim().parse::<u64>().ok());
+    let timeout = deadline_ms
         .map_or(route.timeout, TimeSpan::from_millis)
         .min(route.timeout);
-    let limit = arrived + patience;
-    let most = table.configuration().limits.body.count();
-    let body = read_body(context, body, most, limit.since(arrived))
+    let deadline = arrived + timeout;
+    let max_bytes = table.configuration().limits.body.count();
+    let body = read_body(context, body, max_bytes, deadline.since(arrived))
         .await
-        .map_err(named)?;
+        .map_err(with_id)?;
     let priority = table.priority(&route, organisation.as_ref());
     Ok(CallerRequest {
         id: request_id,
@@ -136,7 +140,7 @@
             .path_and_query()
             .map_or("/", |target| target.as_str())
             .to_string(),
-        headers: forwarded(&head.headers),
+        headers: forwarded_headers(&head.headers),
         body,
         route,
         table,
@@ -145,16 +149,17 @@
         priority,
         work,
         arrived,
-        limit,
+        deadline,
     })
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Whose key it is. A route without keys runs for nobody in particular.
-fn organisation(
+/// Returns the organisation that the API key belongs to; `None` if the route is public
+/// or no keys are configured.
+fn authorise(
     context: &EntryContext,
     table: &RouteTable,
     route: &RouteRule,
@@ -164,19 +169,19 @@
     if route.is_public || !table.has_keys() {
         return Ok(None);
     }
-    // A key that was withdrawn while nothing was heard from the store would go on
-    // working here for as long as that lasts. So all keys stop working then.
+    // A key that is withdrawn while the store is unreachable would remain valid here for
+    // the whole outage, so all keys are rejected once their state is too old.
     if !context.keys_are_fresh(now) {
         let reason = RefusalReason::KeysStale;
-        return Err(Refusal::before_sending(reason, KNOWLEDGE_RETRY_AFTER));
+        return Err(Refusal::before_sending(reason, SYNC_RETRY_AFTER));
     }
-    let key = text(headers, AUTHORIZATION.as_str())
+    let key = header_text(headers, AUTHORIZATION.as_str())
         .and_then(|value| value.strip_prefix(headers::KEY_SCHEME))
         .map(|key| KeyDigest::with_key(key.trim()));
     let organisation = key.and_then(|key| table.organisation(&key));
     match organisation {
         Some(organisation) => Ok(Some(organisation.name.clone())),
-        None => Err(Refusal::improper(RefusalReason::UnknownKey)),
+        None => Err(Refusal::invalid_request(RefusalReason::UnknownKey)),
     }
 }
 
@@ -195,40 +200,42 @@
     None
 }
 
-/// The prompt as the headers tell it. Only services of engines are asked about: what
-/// a request is goes by where it is led, never by what its caller says of it.
+/// Reads the token counts and the prefix of the prompt from the headers. Called for model
+/// services only: the kind of a request follows from its route, never from its headers.
 fn prompt(headers: &HeaderMap) -> Result<PromptWork, ()> {
-    let Some(sizes) = text(headers, headers::TOKEN_USAGE) else {
+    let Some(sizes) = header_text(headers, headers::TOKEN_USAGE) else {
         return Ok(PromptWork::default());
     };
-    let parts = text(headers, headers::PROMPT_PREFIX).unwrap_or_default();
+    let parts = header_text(headers, headers::PROMPT_PREFIX).unwrap_or_default();
     PromptWork::new(sizes, parts).map_err(|_| ())
 }
 
 async fn read_body(
     context: &EntryContext,
     body: Incoming,
-    most: u64,
-    patience: TimeSpan,
+    max_bytes: u64,
+    timeout: TimeSpan,
 ) -> Result<Bytes, Refusal> {
-    let room = context.settings.memory_mb * 1_000_000 / BODIES_SHARE;
-    let expected = hyper::body::Body::size_hint(&body).upper().unwrap_or(most);
-    if expected > most {
-        return Err(Refusal::improper(RefusalReason::TooLarge));
+    let body_memory = context.settings.memory_mb * 1_000_000 / BODY_MEMORY_DIVISOR;
+    let expected_bytes = hyper::body::Body::size_hint(&body)
+        .upper()
+        .unwrap_or(max_bytes);
+    if expected_bytes > max_bytes {
+        return Err(Refusal::invalid_request(RefusalReason::TooLarge));
     }
     let open = context.metrics.requests_open.get().max(1) as u64;
-    // Small bodies always fit; large ones only while few requests are open.
-    if expected > room / open.max(1) && expected > 65_536 {
+    // Bodies up to 64 KiB are always accepted; larger ones only while few requests are open.
+    if expected_bytes > body_memory / open.max(1) && expected_bytes > 65_536 {
         let reason = RefusalReason::OutOfMemory;
         return Err(Refusal::before_sending(reason, DEFAULT_RETRY_AFTER));
     }
-    let limited = Limited::new(body, most as usize).collect();
-    match tokio::time::timeout(patience.as_duration(), limited).await {
+    let collected = Limited::new(body, max_bytes as usize).collect();
+    match tokio::time::timeout(timeout.as_duration(), collected).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            Err(Refusal::improper(RefusalReason::TooLarge))
+            Err(Refusal::invalid_request(RefusalReason::TooLarge))
         }
-        Ok(Err(_)) => Err(Refusal::improper(RefusalReason::Malformed)),
+        Ok(Err(_)) => Err(Refusal::invalid_request(RefusalReason::Malformed)),
         Err(_) => {
             let reason = RefusalReason::BodyTooSlow;
             Err(Refusal::before_sending(reason, DEFAULT_RETRY_AFTER))
@@ -236,28 +243,31 @@
     }
 }
 
-/// The headers that go on: not those of the connection, not the key, not the
-/// length, which is set anew, and none that only the system may set.
-fn forwarded(received: &HeaderMap) -> HeaderMap {
-    let named = hop_headers::connection_options(received);
+/// Returns the headers that are forwarded to the endpoint: no hop-by-hop headers, no API
+/// key, no `Content-Length`, which is set again, and none that only the entry may set.
+fn forwarded_headers(received: &HeaderMap) -> HeaderMap {
+    let connection_options = hop_headers::connection_options(received);
     let is_dropped = |name: &HeaderName| {
         hop_headers::is_hop_by_hop(name)
             || FRAMING_HEADERS.contains(name)
             || headers::SYSTEM_HEADERS.contains(&name.as_str())
-            || (named.iter().any(|option| option == name.as_str()) && !is_needed(name))
+            || (connection_options
+                .iter()
+                .any(|option| option == name.as_str())
+                && !is_essential(name))
     };
-    let mut kept = HeaderMap::with_capacity(received.len());
+    let mut forwarded_headers = HeaderMap::with_capacity(received.len());
     for (name, value) in received {
         if !is_dropped(name) {
-            kept.append(name.clone(), value.clone());
+            forwarded_headers.append(name.clone(), value.clone());
         }
     }
-    kept
+    forwarded_headers
 }
 
-/// Whether the header says what the request is. A caller that lists it in
-/// `Connection` must not be able to change its request on the way.
-fn is_needed(name: &HeaderName) -> bool {
+/// Whether the header describes the request itself. A caller that lists such a header in
+/// `Connection` must not be able to remove it from the forwarded request.
+fn is_essential(name: &HeaderName) -> bool {
     [
         "host",
         headers::ATTEMPT_ID,
