--- /dev/null
+++ b/crates/ingress/src/frontend/listener.rs
@@ -0,0 +1,213 @@
+//! Listener for the connections of callers.
+
+use std::{
+    convert::Infallible,
+    io,
+    net::TcpListener as StdListener,
+    sync::{
+        Arc,
+        atomic::{AtomicUsize, Ordering},
+    },
+    time::Duration,
+};
+
+use bluebell_core::clock::TimeSpan;
+use bluebell_daemon::logs::LogLine;
+use hyper::{server::conn::http1, service::service_fn};
+use hyper_util::rt::{TokioIo, TokioTimer};
+use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
+use tokio::net::{TcpListener, TcpStream};
+use tokio_util::{sync::CancellationToken, task::TaskTracker};
+
+use crate::{context::EntryContext, frontend};
+
+/// Length of the accept queue. A SYN packet that meets a full queue is retransmitted
+/// only after a second, which is as long as callers wait.
+const ACCEPT_BACKLOG: i32 = 1_024;
+
+/// Maximum number of open caller connections: of some 3,900 file descriptors, the rest
+/// is for endpoints, the store and peers.
+const MAX_CONNECTIONS: usize = 2_800;
+
+/// Idle timeout of connections while no configuration is available.
+const IDLE_TIMEOUT: TimeSpan = TimeSpan::from_secs(15);
+
+/// Idle time of a connection before the first TCP keep-alive probe.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(5);
+/// Interval between TCP keep-alive probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+
+/// How long sent bytes may stay unacknowledged before the connection is closed.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(8);
+
+/// Delay after a failed `accept`.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// How long a connection without a request stays open after the frontend was closed.
+/// Callers are a few ms away, and a request that was already sent must not be lost.
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(100);
+
+/// Size of the read buffer beyond the largest request head, in bytes.
+const READ_BUFFER_MARGIN: usize = 16_384;
+
+/// The server for callers: its listener and the connections that it accepted.
+#[derive(Clone, Debug)]
+pub struct FrontendServer {
+    context: Arc<EntryContext>,
+    connections: TaskTracker,
+    open_connections: Arc<AtomicUsize>,
+    closing: CancellationToken,
+}
+
+impl FrontendServer {
+    /// Binds the address for callers and serves connections until
+    /// [`FrontendServer::close`]. Fails if the address can't be bound.
+    pub fn bind(context: Arc<EntryContext>) -> io::Result<FrontendServer> {
+        let address = context.settings.callers_address;
+        let socket = Socket::new(
+            Domain::for_address(address),
+            Type::STREAM,
+            Some(Protocol::TCP),
+        )?;
+        socket.set_reuse_address(true)?;
+        socket.set_nonblocking(true)?;
+        socket.bind(&address.into())?;
+        socket.listen(ACCEPT_BACKLOG)?;
+        let listener = TcpListener::from_std(StdListener::from(socket))?;
+        let frontend = FrontendServer {
+            context,
+            connections: TaskTracker::new(),
+            open_connections: Arc::new(AtomicUsize::new(0)),
+            closing: CancellationToken::new(),
+        };
+        frontend
+            .connections
+            .spawn(accept(frontend.clone(), listener));
+        Ok(frontend)
+    }
+
+    /// Stops accepting connections, closes those without a request, and closes each other
+    /// connection after its current answer.
+    pub fn close(&self) {
+        self.closing.cancel();
+    }
+
+    fn accept_connection(&self, stream: TcpStream) {
+        if self.open_connections.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
+            LogLine::new("connection_refused")
+                .with("open", MAX_CONNECTIONS)
+                .warn();
+            return;
+        }
+        self.open_connections.fetch_add(1, Ordering::Relaxed);
+        self.connections.spawn(serve(self.clone(), stream));
+    }
+
+    /// Waits until all connections are closed.
+    pub async fn wait_closed(&self) {
+        self.connections.close();
+        self.connections.wait().await;
+    }
+}
+
+/// Accepts connections until the frontend is closed, then closes the listener.
+///
+/// While a listener is open, the kernel completes connections even if the process no
+/// longer calls `accept`. Their callers would wait without an answer until the process
+/// ends some seconds later. The connections that are already queued are therefore
+/// accepted before the listener is closed; later ones are refused immediately and go to
+/// another instance.
+async fn accept(frontend: FrontendServer, listener: TcpListener) {
+    loop {
+        let accepted = tokio::select! {
+            () = frontend.closing.cancelled() => break,
+            accepted = listener.accept() => accepted,
+        };
+        match accepted {
+            Ok((stream, _)) => frontend.accept_connection(stream),
+            Err(error) => {
+                LogLine::new("accept_failed").with("error", error).warn();
+                // File descriptors may be exhausted; the next attempt may succeed.
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+            }
+        }
+    }
+    if let Err(error) = accept_pending(&frontend, listener) {
+        LogLine::new("accept_failed").with("error", error).warn();
+    }
+}
+
+/// Accepts the connections queued in the kernel. The asynchronous listener may not have
+/// been notified of them yet, so `accept` is called on the socket directly.
+fn accept_pending(frontend: &FrontendServer, listener: TcpListener) -> io::Result<()> {
+    let listener = listener.into_std()?;
+    loop {
+        match listener.accept() {
+            Ok((stream, _)) => {
+                stream.set_nonblocking(true)?;
+                frontend.accept_connection(TcpStream::from_std(stream)?);
+            }
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
+            Err(error) => return Err(error),
+        }
+    }
+}
+
+async fn serve(frontend: FrontendServer, stream: TcpStream) {
+    if let Err(error) = configure_socket(&stream) {
+        LogLine::new("connection_not_prepared")
+            .with("error", error)
+            .warn();
+    }
+    let limits = {
+        let configuration = frontend.context.configuration.lock();
+        configuration
+            .table()
+            .map(|table| table.configuration().limits)
+    };
+    let idle_timeout = limits.map_or(IDLE_TIMEOUT, |limits| {
+        limits.idle_timeout.max(limits.head_timeout)
+    });
+    let max_head_bytes = limits.map_or(READ_BUFFER_MARGIN, |limits| limits.head.count() as usize);
+    let context = Arc::clone(&frontend.context);
+    let service = service_fn(move |request| {
+        let context = Arc::clone(&context);
+        async move { Ok::<_, Infallible>(frontend::serve_request(context, request).await) }
+    });
+    // hyper includes the idle time between requests in the header read timeout, so the
+    // longer of the two limits applies to both.
+    let connection = http1::Builder::new()
+        .timer(TokioTimer::new())
+        .header_read_timeout(idle_timeout.as_duration())
+        .max_buf_size(max_head_bytes + READ_BUFFER_MARGIN)
+        .serve_connection(TokioIo::new(stream), service);
+    let mut connection = std::pin::pin!(connection);
+    let ended = tokio::select! {
+        ended = connection.as_mut() => ended,
+        () = idle_close_due(&frontend) => {
+            connection.as_mut().graceful_shutdown();
+            connection.await
+        }
+    };
+    if let Err(error) = ended {
+        log::debug!("event=caller_connection_ended error={error:?}");
+    }
+    frontend.open_connections.fetch_sub(1, Ordering::Relaxed);
+}
+
+/// Waits until connections without a request are due to be closed. The first request of a
+/// connection that was opened just before the frontend was closed may still be in flight.
+async fn idle_close_due(frontend: &FrontendServer) {
+    frontend.closing.cancelled().await;
+    tokio::time::sleep(FIRST_REQUEST_GRACE).await;
+}
+
+fn configure_socket(stream: &TcpStream) -> io::Result<()> {
+    stream.set_nodelay(true)?;
+    let socket = SockRef::from(stream);
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL);
+    socket.set_tcp_keepalive(&keepalive)?;
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
+}
--- /dev/null
+++ b/crates/ingress/src/frontend/request.rs
@@ -0,0 +1,280 @@
+//! Reads the requests of callers: route, API key, deadline and body.
+
+use std::sync::Arc;
+
+use bluebell_adapter::headers;
+use bluebell_core::{
+    clock::{ClockTime, TimeSpan},
+    ids::{KeyDigest, OrganisationId, RequestId, ServiceName},
+    ingress::{RouteRule, RouteTable},
+    placement::PromptWork,
+};
+use bytes::Bytes;
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::{
+    HeaderMap, Method, Request,
+    body::Incoming,
+    header::{AUTHORIZATION, CONTENT_LENGTH, HOST, HeaderName},
+};
+use rand::Rng;
+
+use crate::{
+    context::EntryContext,
+    frontend::refusal::{DEFAULT_RETRY_AFTER, Refusal, RefusalReason},
+    hop_headers,
+};
+
+/// Delay after which a caller may retry if the configuration or the withdrawn keys are
+/// missing or out of date here.
+const SYNC_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(600);
+
+/// Divisor of the instance's memory for request bodies: a quarter may hold bodies.
+const BODY_MEMORY_DIVISOR: u64 = 4;
+
+/// Headers of callers that are not forwarded: the entry sets them itself or only reads
+/// them.
+const FRAMING_HEADERS: [HeaderName; 4] = [
+    AUTHORIZATION,
+    CONTENT_LENGTH,
+    hyper::header::EXPECT,
+    HeaderName::from_static(headers::DEADLINE_MS),
+];
+
+/// A request that was read completely and is allowed.
+#[derive(Clone, Debug)]
+pub struct CallerRequest {
+    /// The attempt id that the caller assigned.
+    pub id: RequestId,
+    /// The method.
+    pub method: Method,
+    /// The path with the query, unchanged.
+    pub target: String,
+    /// The headers that are forwarded to the endpoint.
+    pub headers: HeaderMap,
+    /// The complete body.
+    pub body: Bytes,
+    /// The route that matches the request.
+    pub route: Arc<RouteRule>,
+    /// The route table of the configuration that was in force when the request arrived.
+    pub table: Arc<RouteTable>,
+    /// The service that the request is forwarded to.
+    pub service: ServiceName,
+    /// The organisation that the API key belongs to; `None` without authentication.
+    pub organisation: Option<OrganisationId>,
+    /// The priority; 0 is the most urgent.
+    pub priority: u8,
+    /// The token counts and the prefix of the prompt, for model services only.
+    pub work: Option<PromptWork>,
+    /// When the request head was read.
+    pub arrived: ClockTime,
+    /// When the final answer is due.
+    pub deadline: ClockTime,
+}
+
+impl CallerRequest {
+    /// The time left until the deadline.
+    pub fn time_left(&self, now: ClockTime) -> TimeSpan {
+        self.deadline.since(now)
+    }
+}
+
+/// Reads and authorises a request, or returns the refusal.
+pub async fn read(
+    context: &EntryContext,
+    incoming: Request<Incoming>,
+) -> Result<CallerRequest, Refusal> {
+    let arrived = context.now();
+    let (head, body) = incoming.into_parts();
+    let id = header_text(&head.headers, headers::ATTEMPT_ID)
+        .unwrap_or_default()
+        .to_string();
+    let with_id = |refusal: Refusal| refusal.with_request(&id);
+    let not_synced = |reason| with_id(Refusal::before_sending(reason, SYNC_RETRY_AFTER));
+    let table = context.configuration.lock().table().cloned();
+    let table = table.ok_or_else(|| not_synced(RefusalReason::NoConfiguration))?;
+    if context.configuration_is_outdated(arrived) {
+        return Err(not_synced(RefusalReason::ConfigurationOutdated));
+    }
+    let invalid_request = |reason| with_id(Refusal::invalid_request(reason));
+    let host = header_text(&head.headers, HOST.as_str()).unwrap_or_default();
+    let host = host
+        .split(':')
+        .next()
+        .unwrap_or_default()
+        .to_ascii_lowercase();
+    let route = table.find(&host, head.uri.path());
+    let route = Arc::clone(route.ok_or_else(|| invalid_request(RefusalReason::NoRoute))?);
+    let organisation =
+        authorise(context, &table, &route, &head.headers, arrived).map_err(with_id)?;
+    let request_id =
+        RequestId::new(id.as_str()).map_err(|_| invalid_request(RefusalReason::Malformed))?;
+    let service = pick_service(&route).ok_or_else(|| {
+        with_id(Refusal::before_sending(
+            RefusalReason::NoEndpoint,
+            DEFAULT_RETRY_AFTER,
+        ))
+    })?;
+    let rule = table.service(&service);
+    let work = match rule.is_some_and(|rule| rule.engine.is_some()) {
+        true => {
+            Some(prompt(&head.headers).map_err(|()| invalid_request(RefusalReason::Malformed))?)
+        }
+        false => None,
+    };
+    let deadline_ms = header_text(&head.headers, headers::DEADLINE_MS);
+    let deadline_ms = deadline_ms.and_then(|value| value.trim().parse::<u64>().ok());
+    let timeout = deadline_ms
+        .map_or(route.timeout, TimeSpan::from_millis)
+        .min(route.timeout);
+    let deadline = arrived + timeout;
+    let max_bytes = table.configuration().limits.body.count();
+    let body = read_body(context, body, max_bytes, deadline.since(arrived))
+        .await
+        .map_err(with_id)?;
+    let priority = table.priority(&route, organisation.as_ref());
+    Ok(CallerRequest {
+        id: request_id,
+        method: head.method,
+        target: head
+            .uri
+            .path_and_query()
+            .map_or("/", |target| target.as_str())
+            .to_string(),
+        headers: forwarded_headers(&head.headers),
+        body,
+        route,
+        table,
+        service,
+        organisation,
+        priority,
+        work,
+        arrived,
+        deadline,
+    })
+}
+
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+    headers.get(name).and_then(|value| value.to_str().ok())
+}
+
+/// Returns the organisation that the API key belongs to; `None` if the route is public
+/// or no keys are configured.
+fn authorise(
+    context: &EntryContext,
+    table: &RouteTable,
+    route: &RouteRule,
+    headers: &HeaderMap,
+    now: ClockTime,
+) -> Result<Option<OrganisationId>, Refusal> {
+    if route.is_public || !table.has_keys() {
+        return Ok(None);
+    }
+    // A key that is withdrawn while the store is unreachable would remain valid here for
+    // the whole outage, so all keys are rejected once their state is too old.
+    if !context.keys_are_fresh(now) {
+        let reason = RefusalReason::KeysStale;
+        return Err(Refusal::before_sending(reason, SYNC_RETRY_AFTER));
+    }
+    let key = header_text(headers, AUTHORIZATION.as_str())
+        .and_then(|value| value.strip_prefix(headers::KEY_SCHEME))
+        .map(|key| KeyDigest::with_key(key.trim()));
+    let organisation = key.and_then(|key| table.organisation(&key));
+    match organisation {
+        Some(organisation) => Ok(Some(organisation.name.clone())),
+        None => Err(Refusal::invalid_request(RefusalReason::UnknownKey)),
+    }
+}
+
+fn pick_service(route: &RouteRule) -> Option<ServiceName> {
+    let total: u32 = route.targets.iter().map(|target| target.weight).sum();
+    if total == 0 {
+        return None;
+    }
+    let mut draw = rand::rng().random_range(0..total);
+    for target in &route.targets {
+        if draw < target.weight {
+            return Some(target.service.clone());
+        }
+        draw -= target.weight;
+    }
+    None
+}
+
+/// Reads the token counts and the prefix of the prompt from the headers. Called for model
+/// services only: the kind of a request follows from its route, never from its headers.
+fn prompt(headers: &HeaderMap) -> Result<PromptWork, ()> {
+    let Some(sizes) = header_text(headers, headers::TOKEN_USAGE) else {
+        return Ok(PromptWork::default());
+    };
+    let parts = header_text(headers, headers::PROMPT_PREFIX).unwrap_or_default();
+    PromptWork::new(sizes, parts).map_err(|_| ())
+}
+
+async fn read_body(
+    context: &EntryContext,
+    body: Incoming,
+    max_bytes: u64,
+    timeout: TimeSpan,
+) -> Result<Bytes, Refusal> {
+    let body_memory = context.settings.memory_mb * 1_000_000 / BODY_MEMORY_DIVISOR;
+    let expected_bytes = hyper::body::Body::size_hint(&body)
+        .upper()
+        .unwrap_or(max_bytes);
+    if expected_bytes > max_bytes {
+        return Err(Refusal::invalid_request(RefusalReason::TooLarge));
+    }
+    let open = context.metrics.requests_open.get().max(1) as u64;
+    // Bodies up to 64 KiB are always accepted; larger ones only while few requests are open.
+    if expected_bytes > body_memory / open.max(1) && expected_bytes > 65_536 {
+        let reason = RefusalReason::OutOfMemory;
+        return Err(Refusal::before_sending(reason, DEFAULT_RETRY_AFTER));
+    }
+    let collected = Limited::new(body, max_bytes as usize).collect();
+    match tokio::time::timeout(timeout.as_duration(), collected).await {
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => {
+            Err(Refusal::invalid_request(RefusalReason::TooLarge))
+        }
+        Ok(Err(_)) => Err(Refusal::invalid_request(RefusalReason::Malformed)),
+        Err(_) => {
+            let reason = RefusalReason::BodyTooSlow;
+            Err(Refusal::before_sending(reason, DEFAULT_RETRY_AFTER))
+        }
+    }
+}
+
+/// Returns the headers that are forwarded to the endpoint: no hop-by-hop headers, no API
+/// key, no `Content-Length`, which is set again, and none that only the entry may set.
+fn forwarded_headers(received: &HeaderMap) -> HeaderMap {
+    let connection_options = hop_headers::connection_options(received);
+    let is_dropped = |name: &HeaderName| {
+        hop_headers::is_hop_by_hop(name)
+            || FRAMING_HEADERS.contains(name)
+            || headers::SYSTEM_HEADERS.contains(&name.as_str())
+            || (connection_options
+                .iter()
+                .any(|option| option == name.as_str())
+                && !is_essential(name))
+    };
+    let mut forwarded_headers = HeaderMap::with_capacity(received.len());
+    for (name, value) in received {
+        if !is_dropped(name) {
+            forwarded_headers.append(name.clone(), value.clone());
+        }
+    }
+    forwarded_headers
+}
+
+/// Whether the header describes the request itself. A caller that lists such a header in
+/// `Connection` must not be able to remove it from the forwarded request.
+fn is_essential(name: &HeaderName) -> bool {
+    [
+        "host",
+        headers::ATTEMPT_ID,
+        headers::MODEL,
+        headers::TOKEN_USAGE,
+        headers::PROMPT_PREFIX,
+        headers::LAST_EVENT_ID,
+    ]
+    .contains(&name.as_str())
+}
--- a/crates/ingress/src/peers/broadcast.rs
+++ b/crates/ingress/src/peers/broadcast.rs
@@ -126,7 +126,7 @@
     async fn broadcast(&mut self) {
         let now = self.context.now();
         self.update_unreachable_domains(now);
-        self.context.share_budget();
+        self.context.update_budget_share();
         let entries = self.context.peers.lock().len() + 1;
         let share = (MAX_ENTRIES_FOR_ALL_ENGINES / entries as f64).powi(2);
         self.context.engines.lock().set_candidate_share(share);
--- a/crates/ingress/src/peers/messages.rs
+++ b/crates/ingress/src/peers/messages.rs
@@ -14,8 +14,8 @@
 use prost::Message;
 
 use crate::{
+    compression::{compress, decompress},
     leader::UsageRecord,
-    packing::{pack, unpack},
 };
 
 /// The size limit of the decompressed changes of one datagram.
@@ -203,7 +203,7 @@
         if self.packed_changes.is_empty() {
             return Ok(Vec::new());
         }
-        let bytes = unpack(&self.packed_changes, MAX_UNPACKED_CHANGES)?;
+        let bytes = decompress(&self.packed_changes, MAX_UNPACKED_CHANGES)?;
         let message = ChangesMessage::decode(&bytes[..])?;
         Ok(message.changes)
     }
@@ -214,7 +214,7 @@
     if changes.is_empty() {
         return Ok(Vec::new());
     }
-    pack(&ChangesMessage { changes }.encode_to_vec())
+    compress(&ChangesMessage { changes }.encode_to_vec())
 }
 
 /// Changed registrations.
--- a/crates/ingress/src/sync/configuration.rs
+++ b/crates/ingress/src/sync/configuration.rs
@@ -114,7 +114,7 @@
 /// Records that a read sent at `sent` covered everything before `end`.
 fn confirm(context: &EntryContext, sent: ClockTime, end: LogOffset) {
     context.relayed.lock().configuration_next = end;
-    let mut tracker = context.belief.lock();
+    let mut tracker = context.configuration.lock();
     if tracker.table().is_some() {
         tracker.confirm(sent);
     }
@@ -123,7 +123,7 @@
 /// The offset to read from once the reader's adverts have ended. A large configuration
 /// that is in force here need not be fetched again.
 fn advertised_end(context: &EntryContext) -> Option<LogOffset> {
-    let version = context.belief.lock().version();
+    let version = context.configuration.lock().version();
     let advertised = context.relayed.lock().configuration;
     advertised.resume_offset(version)
 }
@@ -132,7 +132,7 @@
 /// the same.
 pub fn confirm_advertised(context: &EntryContext) {
     let advertised = context.relayed.lock().configuration;
-    let mut tracker = context.belief.lock();
+    let mut tracker = context.configuration.lock();
     if tracker.version() == Some(advertised.version()) {
         tracker.confirm(advertised.known_at());
     }
@@ -155,13 +155,13 @@
     let size = ByteSize::new(value.len() as u64);
     // No copy is made of the first version after a start: the other instances already
     // have it.
-    let previous = context.belief.lock().version();
+    let previous = context.configuration.lock().version();
     let is_newer = previous.is_some_and(|previous| previous < version);
     let is_copied = is_newer && copies::is_due(context, size);
     if is_copied {
         copies::mark_pending(context, version);
     }
-    let accepted = context.belief.lock().offer(configuration);
+    let accepted = context.configuration.lock().offer(configuration);
     match accepted {
         OfferOutcome::Newer => {
             context.wake.notify_waiters();
--- a/crates/ingress/src/sync/copies.rs
+++ b/crates/ingress/src/sync/copies.rs
@@ -18,8 +18,8 @@
 use prost::Message;
 
 use crate::{
+    compression::{compress, decompress},
     context::EntryContext,
-    packing::{pack, unpack},
     sync::{READ_TIMEOUT, configuration},
 };
 
@@ -126,7 +126,7 @@
     version: u64,
     value: &[u8],
 ) -> Result<CopyLocation, CopyError> {
-    let packed = Bytes::from(pack(value)?);
+    let packed = Bytes::from(compress(value)?);
     let copy = Bytes::from(CopyRecord { version, packed }.encode_to_vec());
     let starts = (0..copy.len()).step_by(MAX_RECORD_BYTES);
     let records: Vec<Bytes> = starts
@@ -147,7 +147,7 @@
 /// force here; returns whether the advertised version is in force afterwards.
 pub async fn fetch(context: &Arc<EntryContext>) -> bool {
     let advertised = context.relayed.lock().configuration;
-    if context.belief.lock().version() >= Some(advertised.version()) {
+    if context.configuration.lock().version() >= Some(advertised.version()) {
         return false;
     }
     let VersionSource::Copy(place) = advertised.source(context.now()) else {
@@ -157,7 +157,7 @@
         Ok(value) => {
             configuration::apply(context, &value);
             configuration::confirm_advertised(context);
-            context.belief.lock().version() >= Some(advertised.version())
+            context.configuration.lock().version() >= Some(advertised.version())
         }
         Err(error) => {
             LogLine::new("configuration_copy")
@@ -191,5 +191,5 @@
     if copy.version != version {
         return Err(CopyError::OtherVersion(copy.version));
     }
-    Ok(unpack(&copy.packed, MAX_UNPACKED_SIZE)?)
+    Ok(decompress(&copy.packed, MAX_UNPACKED_SIZE)?)
 }
--- a/crates/ingress/src/sync/endpoints.rs
+++ b/crates/ingress/src/sync/endpoints.rs
@@ -86,7 +86,7 @@
 /// Records that the directory covers everything that was in the store at `sent`.
 fn mark_synced(context: &EntryContext, sent: ClockTime) {
     let mut relayed = context.relayed.lock();
-    relayed.endpoints_known_at = relayed.endpoints_known_at.max(Some(sent));
+    relayed.endpoints_synced_at = relayed.endpoints_synced_at.max(Some(sent));
     relayed.must_resync = false;
     relayed.difference.reset();
 }
@@ -191,7 +191,7 @@
     let change = context.directory.lock().register(registration.clone());
     match change {
         DirectoryChange::Same => return,
-        DirectoryChange::Started => context.pools.forget(id),
+        DirectoryChange::Started => context.pools.remove_endpoint(id),
         _ => {}
     }
     queue_change(context, id, Some(value));
@@ -227,7 +227,7 @@
 }
 
 fn is_engine(context: &EntryContext, registration: &EndpointRegistration) -> bool {
-    let tracker = context.belief.lock();
+    let tracker = context.configuration.lock();
     let service = tracker
         .table()
         .and_then(|table| table.service(&registration.service));
@@ -262,7 +262,7 @@
 /// store that reported it.
 fn record_removal(context: &EntryContext, id: &EndpointId, change: DirectoryChange, source: &str) {
     let outcome = format!("{change:?}");
-    let counter = &context.metrics.registrations_gone;
+    let counter = &context.metrics.registrations_removed;
     counter.with_label_values(&[outcome.as_str()]).inc();
     let kept_for = context.directory.lock().remaining_grace(context.now(), id);
     let mut line = LogLine::new("endpoint")
@@ -281,7 +281,7 @@
     }
     context.engines.lock().remove_engine(id);
     context.replicas.lock().forget(id);
-    context.pools.forget(id);
+    context.pools.remove_endpoint(id);
 }
 
 fn drop_lapsed(context: &EntryContext) {
