--- a/crates/ingress/tests/peer_receivers.rs
+++ b/crates/ingress/tests/peer_receivers.rs
@@ -1,4 +1,4 @@
-//! Which other instances an entry tells what it has.
+//! Which other instances an entry selects as targets of its messages.
 
 use bluebell_core::{
     clock::ClockTime,
@@ -18,7 +18,7 @@
     FailureDomain::new(name).unwrap()
 }
 
-/// Who is known in `table`, in the failure domain of that name.
+/// Registers an instance of the failure domain `in_domain` in `table`.
 fn register(table: &mut PeerTable, name: &str, in_domain: &str, port: u16) {
     let peer = KnownPeer {
         address: ([127, 0, 0, 1], port).into(),
@@ -30,71 +30,77 @@
     table.register(&instance(name), peer);
 }
 
-fn choice() -> TargetSelector {
+fn selector() -> TargetSelector {
     TargetSelector::new(instance("a-1"), domain("a"))
 }
 
-/// Guards against failure domains that never hear each other because words for the
-/// own failure domain take the beat at which silent instances are told.
+/// Guards against failure domains that never exchange messages because messages within the
+/// failure domain use up the interval at which unresponsive instances are probed.
 #[test]
-fn frequent_words_within_a_failure_domain_do_not_keep_the_others_silent() {
+fn messages_within_a_failure_domain_do_not_use_up_probes_of_other_domains() {
     let mut table = PeerTable::new();
     register(&mut table, "a-2", "a", 1);
     register(&mut table, "b-1", "b", 2);
-    for (near_ms, all_ms) in [(250, 309), (250, 800), (250, 250), (60, 1_000)] {
-        let mut choice = choice();
-        let mut told_far = 0;
+    for (same_domain_ms, broadcast_ms) in [(250, 309), (250, 800), (250, 250), (60, 1_000)] {
+        let mut selector = selector();
+        let mut cross_domain = 0;
         for now in 10_000..20_000 {
-            if now % near_ms == 0 {
-                choice.same_domain_targets(at(now), &table);
+            if now % same_domain_ms == 0 {
+                selector.same_domain_targets(at(now), &table);
             }
-            if now % all_ms == 0 {
-                let receivers = choice.broadcast_targets(at(now), &table);
-                told_far += receivers.iter().filter(|told| !told.is_same_domain).count();
+            if now % broadcast_ms == 0 {
+                let targets = selector.broadcast_targets(at(now), &table);
+                cross_domain += targets
+                    .iter()
+                    .filter(|target| !target.is_same_domain)
+                    .count();
             }
         }
-        assert!(told_far >= 3, "{told_far} with {near_ms} and {all_ms} ms");
+        assert!(
+            cross_domain >= 3,
+            "{cross_domain} with {same_domain_ms} and {broadcast_ms} ms"
+        );
     }
 }
 
-/// Guards against a word in each interval to every instance that has gone.
+/// Guards against a message in each interval to every instance that has stopped.
 #[test]
-fn silent_instances_are_told_at_a_beat_and_heard_ones_each_time() {
+fn unresponsive_instances_are_probed_and_alive_ones_get_every_message() {
     let mut table = PeerTable::new();
     register(&mut table, "b-1", "b", 1);
     register(&mut table, "b-2", "b", 2);
-    let mut choice = choice();
-    let mut told = [0, 0];
+    let mut selector = selector();
+    let mut messages = [0, 0];
     for now in (10_000..20_000).step_by(100) {
         table.note_message(at(now), &instance("b-1"), now);
-        for receiver in choice.broadcast_targets(at(now), &table) {
-            told[usize::from(receiver.address.port() == 2)] += 1;
+        for target in selector.broadcast_targets(at(now), &table) {
+            messages[usize::from(target.address.port() == 2)] += 1;
         }
     }
-    assert_eq!(told[0], 100);
-    assert!((4..=6).contains(&told[1]), "{told:?}");
+    assert_eq!(messages[0], 100);
+    assert!((4..=6).contains(&messages[1]), "{messages:?}");
 }
 
 #[test]
-fn words_for_the_own_failure_domain_go_nowhere_else() {
+fn messages_for_the_same_failure_domain_are_not_sent_to_other_domains() {
     let mut table = PeerTable::new();
     register(&mut table, "a-2", "a", 1);
     register(&mut table, "b-1", "b", 2);
     table.note_message(at(1_000), &instance("a-2"), 1);
     table.note_message(at(1_000), &instance("b-1"), 1);
-    let near = choice().same_domain_targets(at(1_100), &table);
-    let ports: Vec<u16> = near.iter().map(|told| told.address.port()).collect();
+    let targets = selector().same_domain_targets(at(1_100), &table);
+    let ports: Vec<u16> = targets.iter().map(|target| target.address.port()).collect();
     assert_eq!(ports, [1]);
 }
 
-/// Guards against a start at which all instances read the store for themselves because
-/// the first word was said before anybody was known.
+/// Guards against a start at which all instances read the store themselves because their
+/// first message, sent before any other instance was known, counted as a probe.
 #[test]
-fn instances_that_become_known_after_the_first_word_are_told_by_the_next() {
+fn instances_that_register_after_the_first_message_get_the_next_one() {
     let mut table = PeerTable::new();
-    let mut choice = choice();
-    assert!(choice.broadcast_targets(at(10_000), &table).is_empty());
+    let mut selector = selector();
+    assert!(selector.broadcast_targets(at(10_000), &table).is_empty());
     register(&mut table, "b-1", "b", 1);
-    assert_eq!(choice.broadcast_targets(at(10_060), &table).len(), 1);
-    assert!(choice.broadcast_targets(at(10_120), &table).is_empty());
+    assert_eq!(selector.broadcast_targets(at(10_060), &table).len(), 1);
+    assert!(selector.broadcast_targets(at(10_120), &table).is_empty());
 }
--- a/crates/ingress/tests/peer_scale.rs
+++ b/crates/ingress/tests/peer_scale.rs
@@ -1,5 +1,5 @@
-//! Several hundred instances that tell each other what they have: who hears what, and
-//! how much is sent for it.
+//! The messages between several hundred instances: what each instance receives, and how
+//! many messages are sent.
 
 use std::collections::BTreeMap;
 
@@ -11,23 +11,23 @@
 use bluebell_ingress::peers::{KnownPeer, PeerTable, TargetSelector};
 
 const DOMAINS: usize = 5;
-const IN_EACH: usize = 59;
-/// How often a full word is told, in ms.
-const INTERVAL: u64 = 800;
+const PER_DOMAIN: usize = 59;
+/// The broadcast interval in ms.
+const INTERVAL_MS: u64 = 800;
 
-/// One entry instance of the fleet.
-struct FleetEntry {
+/// One entry instance of the simulated fleet.
+struct SimulatedEntry {
     domain: FailureDomain,
-    choice: TargetSelector,
+    selector: TargetSelector,
     table: PeerTable,
     demands: DemandBoard,
     is_alive: bool,
 }
 
-/// The instances by their port.
-struct EntryFleet {
-    entries: BTreeMap<u16, FleetEntry>,
-    sent: usize,
+/// The instances by port, and the number of messages sent.
+struct SimulatedFleet {
+    entries: BTreeMap<u16, SimulatedEntry>,
+    messages_sent: usize,
 }
 
 fn at(millis: u64) -> ClockTime {
@@ -57,31 +57,31 @@
     }
 }
 
-impl EntryFleet {
-    fn new() -> EntryFleet {
-        let ports = 1..=(DOMAINS * IN_EACH) as u16;
+impl SimulatedFleet {
+    fn new() -> SimulatedFleet {
+        let ports = 1..=(DOMAINS * PER_DOMAIN) as u16;
         let entries = ports.clone().map(|port| {
             let mut table = PeerTable::new();
             for other in ports.clone().filter(|other| *other != port) {
                 table.register(&instance(other), known(other));
             }
-            let entry = FleetEntry {
+            let entry = SimulatedEntry {
                 domain: domain(port),
-                choice: TargetSelector::new(instance(port), domain(port)),
+                selector: TargetSelector::new(instance(port), domain(port)),
                 table,
                 demands: DemandBoard::new(),
                 is_alive: true,
             };
             (port, entry)
         });
-        EntryFleet {
+        SimulatedFleet {
             entries: entries.collect(),
-            sent: 0,
+            messages_sent: 0,
         }
     }
 
-    /// Every instance that is alive tells what it has.
-    fn tell(&mut self, now: u64) {
+    /// Sends the messages of every instance that is alive.
+    fn broadcast(&mut self, now: u64) {
         let ports: Vec<u16> = self.entries.keys().copied().collect();
         for port in ports {
             let sender = self.entries.get_mut(&port).unwrap();
@@ -89,29 +89,30 @@
                 continue;
             }
             sender.demands.prefill_sent(at(now), &service(), 80.0);
-            let own = sender.demands.own(at(now));
-            let sum = sender.demands.heard(at(now));
-            let near = sender.choice.broadcast_targets(at(now), &sender.table);
-            let speaks = sender
-                .table
-                .is_representative(at(now), &instance(port), &sender.domain);
-            let far = match speaks {
-                true => sender.choice.cross_domain_targets(at(now), &sender.table),
+            let local_demands = sender.demands.own(at(now));
+            let domain_demands = sender.demands.heard(at(now));
+            let same_domain = sender.selector.broadcast_targets(at(now), &sender.table);
+            let is_representative =
+                sender
+                    .table
+                    .is_representative(at(now), &instance(port), &sender.domain);
+            let cross_domain = match is_representative {
+                true => sender.selector.cross_domain_targets(at(now), &sender.table),
                 false => Vec::new(),
             };
-            self.sent += near.len() + far.len();
-            for told in near {
-                let receiver = self.entries.get_mut(&told.address.port()).unwrap();
+            self.messages_sent += same_domain.len() + cross_domain.len();
+            for target in same_domain {
+                let receiver = self.entries.get_mut(&target.address.port()).unwrap();
                 receiver.table.note_message(at(now), &instance(port), now);
-                for (service, demand) in &own {
+                for (service, demand) in &local_demands {
                     let demands = &mut receiver.demands;
                     demands.note_peer(at(now), &instance(port), service.clone(), *demand);
                 }
             }
-            for told in far {
-                let receiver = self.entries.get_mut(&told.address.port()).unwrap();
+            for target in cross_domain {
+                let receiver = self.entries.get_mut(&target.address.port()).unwrap();
                 receiver.table.note_message(at(now), &instance(port), now);
-                for (service, demand) in &sum {
+                for (service, demand) in &domain_demands {
                     let demands = &mut receiver.demands;
                     demands.note_domain(at(now), &domain(port), service.clone(), *demand);
                 }
@@ -120,21 +121,21 @@
     }
 }
 
-/// Guards against a steward that plans a large fleet by the work of its own failure
-/// domain, and so leaves too few engines for what runs.
+/// Guards against a leader that plans a large fleet by the demand of its own failure domain
+/// alone, and so leaves too few engines for the running requests.
 #[test]
-fn each_of_hundreds_of_instances_knows_the_work_of_all() {
-    let mut fleet = EntryFleet::new();
+fn each_of_hundreds_of_instances_has_the_demand_of_all() {
+    let mut fleet = SimulatedFleet::new();
     let mut now = 10_000;
     for _ in 0..20 {
-        fleet.tell(now);
-        now += INTERVAL;
+        fleet.broadcast(now);
+        now += INTERVAL_MS;
     }
-    let mut one = DemandBoard::new();
+    let mut single = DemandBoard::new();
     for step in 0..20 {
-        one.prefill_sent(at(10_000 + step * INTERVAL), &service(), 80.0);
+        single.prefill_sent(at(10_000 + step * INTERVAL_MS), &service(), 80.0);
     }
-    let expected = one.total(at(now), &service()).prefill * (DOMAINS * IN_EACH) as f64;
+    let expected = single.total(at(now), &service()).prefill * (DOMAINS * PER_DOMAIN) as f64;
     for port in [1, 2, 150, 295] {
         let demands = &mut fleet.entries.get_mut(&port).unwrap().demands;
         let total = demands.total(at(now), &service()).prefill;
@@ -145,37 +146,42 @@
     }
 }
 
-/// Guards against words that grow with the square of the number of instances.
+/// Guards against a number of messages that grows with the square of the number of
+/// instances.
 #[test]
-fn hundreds_of_instances_send_few_words() {
-    let mut fleet = EntryFleet::new();
+fn hundreds_of_instances_send_few_messages() {
+    let mut fleet = SimulatedFleet::new();
     let mut now = 10_000;
     for _ in 0..5 {
-        fleet.tell(now);
-        now += INTERVAL;
+        fleet.broadcast(now);
+        now += INTERVAL_MS;
     }
-    fleet.sent = 0;
+    fleet.messages_sent = 0;
     for _ in 0..10 {
-        fleet.tell(now);
-        now += INTERVAL;
+        fleet.broadcast(now);
+        now += INTERVAL_MS;
     }
-    let for_each = fleet.sent / 10 / (DOMAINS * IN_EACH);
-    assert!(for_each <= IN_EACH + 20, "{for_each} words each at a time");
+    let per_entry = fleet.messages_sent / 10 / (DOMAINS * PER_DOMAIN);
+    assert!(
+        per_entry <= PER_DOMAIN + 20,
+        "{per_entry} messages of each entry in one interval"
+    );
 }
 
-/// Guards against a failure domain that seems to be cut off because the instances that
-/// spoke for it were killed.
+/// Guards against a failure domain that counts as unreachable because representatives of it
+/// were killed.
 #[test]
-fn a_failure_domain_is_heard_after_one_that_speaks_for_it_is_killed() {
-    let mut fleet = EntryFleet::new();
+fn a_failure_domain_stays_reachable_after_a_representative_is_killed() {
+    let mut fleet = SimulatedFleet::new();
     let mut now = 10_000;
     for step in 0..20 {
         if step == 8 {
-            // The first of its failure domain by name, which reads the store for it.
+            // The first of its failure domain by name, which is its reader and one of its
+            // representatives.
             fleet.entries.get_mut(&1).unwrap().is_alive = false;
         }
-        fleet.tell(now);
-        now += INTERVAL;
+        fleet.broadcast(now);
+        now += INTERVAL_MS;
         if step > 4 {
             let table = &fleet.entries[&2].table;
             assert!(
--- a/crates/ingress/tests/peer_table.rs
+++ b/crates/ingress/tests/peer_table.rs
@@ -1,4 +1,4 @@
-//! Which other instances an entry knows.
+//! The table of the other instances, and the changes that are sent to them.
 
 use bluebell_core::clock::ClockTime;
 use bluebell_ingress::peers::{
@@ -10,10 +10,11 @@
 }
 
 #[test]
-fn a_new_entry_does_not_take_the_whole_budget_for_itself() {
-    // Many entries start at the same moment, and each knows nobody yet. If each took
-    // the whole extra of the budget of repeats, a crash of engines in the first
-    // seconds would bring the service that many times what the operators allow.
+fn a_new_entry_does_not_take_the_whole_retry_budget() {
+    // Many entries start at the same moment, and none has read the registrations of the
+    // others yet. If each took the whole extra of the retry budget, a crash of engines in
+    // the first seconds would bring the service that many times the retries that the
+    // operators allow.
     let mut table = PeerTable::new();
     assert!(!table.is_complete(at(60_000)));
     table.note_read(at(60_000));
@@ -33,29 +34,29 @@
 }
 
 /// Guards against a mass change of registrations that makes every instance of a failure
-/// domain read all of them from the store, because the reader told only some.
+/// domain read all of them from the store, because the reader sent only some.
 #[test]
-fn all_of_many_changes_are_told_at_once() {
+fn all_of_many_changes_are_sent_at_once() {
     let mut table = PeerTable::new();
     let changed = 6 * MAX_CHANGES_PER_DATAGRAM + 1;
     for number in 0..changed {
         table.note_change(at(1_000), change(number));
     }
-    let mut told = Vec::new();
+    let mut sent = Vec::new();
     while table.has_due_changes(at(1_010)) {
         let changes = table.take_due_changes(at(1_010));
         assert!(changes.len() <= MAX_CHANGES_PER_DATAGRAM);
-        told.extend(changes);
+        sent.extend(changes);
     }
-    told.sort_by(|one, two| one.endpoint.cmp(&two.endpoint));
-    told.dedup_by(|one, two| one.endpoint == two.endpoint);
-    assert_eq!(told.len(), changed);
+    sent.sort_by(|first, second| first.endpoint.cmp(&second.endpoint));
+    sent.dedup_by(|first, second| first.endpoint == second.endpoint);
+    assert_eq!(sent.len(), changed);
 }
 
-/// Guards against a change that nobody hears of because its one datagram was lost, and
-/// against one that is told for good.
+/// Guards against a change that does not arrive because its only datagram was lost, and
+/// against one that is sent forever.
 #[test]
-fn a_change_is_told_a_few_times() {
+fn a_change_is_sent_a_few_times() {
     let mut table = PeerTable::new();
     table.note_change(at(1_000), change(1));
     let times = (1_000..9_000).filter(|now| !table.take_due_changes(at(*now)).is_empty());
@@ -64,19 +65,19 @@
     assert_eq!(times.first(), Some(&1_000));
 }
 
-/// Guards against datagrams of changes that fill the narrow links of an instance.
+/// Guards against datagrams of changes that use up the low bandwidth of an instance's links.
 #[test]
-fn packed_changes_are_small_and_come_back_whole() {
+fn packed_changes_are_small_and_decode_completely() {
     let changes: Vec<ChangeMessage> = (0..MAX_CHANGES_PER_DATAGRAM).map(change).collect();
-    let plain: usize = changes
+    let unpacked_bytes: usize = changes
         .iter()
-        .map(|told| told.value.iter().flatten().count())
+        .map(|change| change.value.iter().flatten().count())
         .sum();
     let relay = RelayMessage {
         packed_changes: pack_changes(changes.clone()).unwrap(),
         ..RelayMessage::default()
     };
-    assert!(relay.packed_changes.len() * 3 < plain);
+    assert!(relay.packed_changes.len() * 3 < unpacked_bytes);
     assert_eq!(relay.changes().unwrap(), changes);
     let broken = RelayMessage {
         packed_changes: vec![7; 20],
