--- a/crates/ingress/src/leader/mod.rs
+++ b/crates/ingress/src/leader/mod.rs
@@ -1,4 +1,5 @@
-//! The duties towards the platform: usage reports and endpoint orders.
+//! Leadership, and the duties towards the platform that the leader carries out: usage reports
+//! and endpoint orders. All instances publish their usage counts for the leader.
 
 mod orders;
 mod publish;
@@ -16,17 +17,17 @@
 };
 use crate::context::EntryContext;
 
-/// Starts publishing counts and, where there is an interface for duties, standing
-/// for the stewardship. Both end with `stop`.
+/// Spawns the task that publishes usage counts and, if the settings name an interface for
+/// duties, the task that competes for leadership. Both end with `stop`.
 pub fn start(context: &Arc<EntryContext>, client: &PlatformClient, stop: &CancellationToken) {
-    let publishing = publish::publish(Arc::clone(context));
+    let publication = publish::publish(Arc::clone(context));
     let token = stop.clone();
-    tokio::spawn(async move { token.run_until_cancelled(publishing).await });
+    tokio::spawn(async move { token.run_until_cancelled(publication).await });
     let Some(duties) = &context.settings.duties else {
         return;
     };
     let client = DutyClient::new(client.clone(), duties.address);
-    let duty = task::LeaderTask::new(Arc::clone(context), client);
+    let task = task::LeaderTask::new(Arc::clone(context), client);
     let token = stop.clone();
-    tokio::spawn(async move { token.run_until_cancelled(duty.serve()).await });
+    tokio::spawn(async move { token.run_until_cancelled(task.run()).await });
 }
--- a/crates/ingress/src/leader/orders.rs
+++ b/crates/ingress/src/leader/orders.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the planner wants: endpoint orders and stages of engines.
+//! Carrying out the planner's steps: endpoint orders and stage changes of engines.
 
 use bluebell_adapter::{
     CallError,
@@ -18,9 +18,9 @@
 };
 
 impl LeaderTask {
-    /// What is to be ordered now. Nothing, as long as nothing is known to be fresh:
-    /// an order from old knowledge could undo what is there.
-    pub(super) fn provision_steps(&mut self) -> Vec<ProvisionStep> {
+    /// The steps that are to be ordered now. There are none while the state of the store here
+    /// is not known to be fresh: an order from outdated state could undo a newer one.
+    pub(super) fn due_steps(&mut self) -> Vec<ProvisionStep> {
         let now = self.context.now();
         if !self.context.keys_are_fresh(now) {
             return Vec::new();
@@ -44,8 +44,9 @@
         steps.collect()
     }
 
-    /// Gives the orders for which the right to act lasts; the rest comes up again.
-    pub(super) async fn provide(&mut self, steps: Vec<ProvisionStep>) -> Result<(), CallError> {
+    /// Sends orders until the right to act expires; the planner returns the remaining steps
+    /// again.
+    pub(super) async fn carry_out(&mut self, steps: Vec<ProvisionStep>) -> Result<(), CallError> {
         let Some(grant) = self.append(None).await? else {
             return Ok(());
         };
@@ -57,8 +58,8 @@
                 ProvisionStep::Count { .. } => self.order_count(&grant, &step).await,
                 ProvisionStep::Stage { .. } => self.order_stage(&grant, &step).await,
             };
-            // An order without an answer may be carried out all the same, so it
-            // counts as given; it comes up again if it has no effect.
+            // An order without an answer may be carried out nevertheless, so it counts as
+            // sent; the planner returns the step again if it has no effect.
             self.planner.ordered(self.context.now(), &step);
             let mut line = LogLine::new("order")
                 .with("order", format!("{step:?}"))
@@ -125,7 +126,7 @@
         })
     }
 
-    fn announce_stage(&self, endpoint: &EndpointId, stage: EngineStage) {
+    fn broadcast_stage(&self, endpoint: &EndpointId, stage: EngineStage) {
         let now = self.context.now();
         let mut engines = self.context.engines.lock();
         let Some(engine) = engines.hash(endpoint) else {
@@ -159,9 +160,9 @@
         let Some(address) = address else {
             return Ok("gone".to_string());
         };
-        // The others are told first: what they send there while it is away is
-        // refused.
-        self.announce_stage(endpoint, *stage);
+        // The other instances are informed first: an engine refuses requests while it
+        // changes its stage.
+        self.broadcast_stage(endpoint, *stage);
         let authority = self.authority(grant);
         let client = &self.context.engine_client;
         let answer = client.order_stage(address, endpoint, *stage, &authority, CALL_TIMEOUT);
@@ -169,5 +170,5 @@
     }
 }
 
-/// The outcome of an order for endpoints that are not to be had.
+/// The outcome of an order for endpoints that the platform can't provide.
 const UNAVAILABLE: &str = "unavailable";
--- a/crates/ingress/src/leader/publish.rs
+++ b/crates/ingress/src/leader/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing what this entry counted.
+//! Publishing the usage counts of this entry and, as a reader, those of its failure domain.
 
 use std::{collections::BTreeMap, mem, sync::Arc, time::Duration};
 
@@ -13,38 +13,39 @@
     time::wall_time,
 };
 
-/// How often counts are published in a window. An entry that is killed takes what
-/// it counted since with it: a quarter of its window at most.
-const TIMES_A_WINDOW: u64 = 4;
+/// How often counts are published in a window. An entry that is killed loses the counts
+/// since its last publication: those of a quarter of its window at most.
+const PUBLICATIONS_PER_WINDOW: u64 = 4;
 
-/// How long after the end of a window its last counts are published: answers that
-/// are on their way then still belong to it.
-const AFTER_WINDOW: TimeSpan = TimeSpan::from_millis(60);
+/// How long after the end of a window its last counts are published: answers that are in
+/// flight at its end still belong to it.
+const WINDOW_END_DELAY: TimeSpan = TimeSpan::from_millis(60);
 
-/// How many windows are told to the reader: the current one, and two that may not
-/// have been published when they ended.
-const WINDOWS_TOLD: usize = 3;
+/// The number of windows whose counts are sent to the reader: the current one, and two that
+/// may not have been published when they ended.
+const WINDOWS_SENT_TO_READER: usize = 3;
 
-/// How long the store may take.
+/// The timeout of an append to the store.
 const APPEND_TIMEOUT: TimeSpan = TimeSpan::from_millis(1_200);
 
-/// Publishes news for good, in step with the windows: what this entry counted and,
-/// if it reads the store for its failure domain, what the others there told it.
+/// Publishes counts at fixed times within each window: the unpublished counts of this entry
+/// and, if it is the reader of its failure domain, the counts that the others there sent to
+/// it. Never returns.
 pub async fn publish(context: Arc<EntryContext>) {
     let mut backoff = StoreBackoff::new("usage");
-    let interval = context.settings.bounds.usage_window.as_millis() / TIMES_A_WINDOW;
-    let mut ended = UsageWindow::new(0);
+    let interval = context.settings.bounds.usage_window.as_millis() / PUBLICATIONS_PER_WINDOW;
+    let mut last_published = UsageWindow::new(0);
     loop {
         let now = wall_time().as_millis();
-        let phase = (now + interval - AFTER_WINDOW.as_millis()) % interval;
+        let phase = (now + interval - WINDOW_END_DELAY.as_millis()) % interval;
         tokio::time::sleep(Duration::from_millis(interval - phase)).await;
         let is_reader = context.is_reader();
-        let told = context.told_usage.lock().take();
-        if !is_reader && is_told(&context) {
+        let peer_records = context.told_usage.lock().take();
+        if !is_reader && has_reader_to_publish(&context) {
             continue;
         }
-        let (own, news) = own_record(&context, ended);
-        let records: Vec<Bytes> = own.iter().chain(&told).map(encode).collect();
+        let (local, unpublished) = local_record(&context, last_published);
+        let records: Vec<Bytes> = local.iter().chain(&peer_records).map(encode).collect();
         if records.is_empty() {
             continue;
         }
@@ -54,21 +55,22 @@
         match appended.await {
             Ok(AppendAnswer::Appended { .. }) => {
                 backoff.note_answer(&context);
-                context.meter.lock().published(&news);
+                context.meter.lock().published(&unpublished);
                 let current = current_window(&context).number();
-                ended = ended.max(UsageWindow::new(current.saturating_sub(1)));
+                last_published = last_published.max(UsageWindow::new(current.saturating_sub(1)));
             }
             Ok(AppendAnswer::EndMoved { .. }) => {}
             Err(error) => {
-                context.told_usage.lock().put_back(told);
+                context.told_usage.lock().restore(peer_records);
                 backoff.wait_after_failure(&context, &error).await;
             }
         }
     }
 }
 
-/// Whether somebody reads the store for this entry and can publish for it.
-fn is_told(context: &EntryContext) -> bool {
+/// Whether another instance is the reader of this failure domain and can publish the counts
+/// of this one.
+fn has_reader_to_publish(context: &EntryContext) -> bool {
     let (now, domain) = (context.now(), &context.settings.domain);
     let peers = context.peers.lock();
     let has_reader = peers.has_alive_peer_in(now, domain);
@@ -79,62 +81,64 @@
     UsageWindow::at(wall_time(), context.settings.bounds.usage_window)
 }
 
-/// What this entry has to publish. The end of a window is told once even if all of
-/// it was published before: the steward waits for it.
-fn own_record(
+/// The record that this entry has to publish, and the counts in it. The end of a window is
+/// published once even if all its counts have been published before: the leader waits for it.
+fn local_record(
     context: &EntryContext,
-    ended: UsageWindow,
+    last_published: UsageWindow,
 ) -> (Option<UsageRecord>, Vec<(UsageWindow, MeteredCounts)>) {
     let current = current_window(context);
     let last = UsageWindow::new(current.number().saturating_sub(1));
     let meter = context.meter.lock();
-    let news = meter.news();
-    let has_ended = ended < last && meter.has_counted(last);
-    let is_due = !news.is_empty() || has_ended;
-    let record = is_due.then(|| UsageRecord::new(&context.writer, &news, current));
-    (record, news)
+    let unpublished = meter.news();
+    let has_ended = last_published < last && meter.has_counted(last);
+    let is_due = !unpublished.is_empty() || has_ended;
+    let record = is_due.then(|| UsageRecord::new(&context.writer, &unpublished, current));
+    (record, unpublished)
 }
 
-/// What this entry counted in the last windows, for the reader to publish.
+/// The counts of this entry in the last windows, for the reader to publish.
 pub fn recent_usage(context: &EntryContext) -> Option<UsageRecord> {
     let current = current_window(context);
-    let windows = context.meter.lock().last_windows(WINDOWS_TOLD);
+    let windows = context.meter.lock().last_windows(WINDOWS_SENT_TO_READER);
     let is_due = !windows.is_empty();
     is_due.then(|| UsageRecord::new(&context.writer, &windows, current))
 }
 
-/// Another entry told what it counted.
+/// Records the counts that another entry sent.
 pub fn note_peer_usage(context: &EntryContext, usage: &UsageRecord) {
-    context.told_usage.lock().take_word(usage);
+    context.told_usage.lock().note_report(usage);
 }
 
-/// What other entries told and is not published yet. Counts are always told in
-/// full, so the last word of each is enough.
+/// The counts that other entries sent and that are not published yet. Each record has the
+/// complete counts of its windows, so the last record of each entry is sufficient.
 #[derive(Debug, Default)]
 pub struct PeerUsage {
-    /// The last word of each instance.
-    words: BTreeMap<String, UsageRecord>,
-    /// What was published of each instance.
+    /// The last unpublished record of each instance.
+    pending: BTreeMap<String, UsageRecord>,
+    /// The last published record of each instance.
     published: BTreeMap<String, UsageRecord>,
 }
 
 impl PeerUsage {
-    fn take_word(&mut self, usage: &UsageRecord) {
+    fn note_report(&mut self, usage: &UsageRecord) {
         if self.published.get(&usage.instance) != Some(usage) {
-            self.words.insert(usage.instance.clone(), usage.clone());
+            self.pending.insert(usage.instance.clone(), usage.clone());
         }
     }
 
     fn take(&mut self) -> Vec<UsageRecord> {
-        let words = mem::take(&mut self.words);
-        self.published.extend(words.clone());
-        words.into_values().collect()
+        let pending = mem::take(&mut self.pending);
+        self.published.extend(pending.clone());
+        pending.into_values().collect()
     }
 
-    fn put_back(&mut self, records: Vec<UsageRecord>) {
+    fn restore(&mut self, records: Vec<UsageRecord>) {
         for record in records {
             self.published.remove(&record.instance);
-            self.words.entry(record.instance.clone()).or_insert(record);
+            self.pending
+                .entry(record.instance.clone())
+                .or_insert(record);
         }
     }
 }
--- a/crates/ingress/src/leader/records.rs
+++ b/crates/ingress/src/leader/records.rs
@@ -1,4 +1,4 @@
-//! What entries and the steward write into the store's topics.
+//! The records that entries and the leader append to topics of the store.
 
 use std::collections::BTreeMap;
 
@@ -12,61 +12,61 @@
 use bytes::Bytes;
 use prost::Message;
 
-/// Where entries publish their counts.
+/// The topic in which entries publish their usage counts.
 pub const USAGE_PART: TopicPart = TopicPart::first("usage");
 
-/// Where stewards write before they act.
+/// The topic to which a leader appends a record before each action.
 pub const LEADER_PART: TopicPart = TopicPart::first("steward");
 
-/// The requests of each organisation in one window.
+/// The number of requests of each organisation in one window.
 #[derive(Clone, PartialEq, Message)]
 pub struct WindowCounts {
     /// The number of the window.
     #[prost(uint64, tag = "1")]
     pub window: u64,
-    /// Requests by organisation.
+    /// The number of requests by organisation.
     #[prost(btree_map = "string, uint64", tag = "2")]
     pub requests: BTreeMap<String, u64>,
 }
 
-/// What an entry counted.
+/// The usage counts of an entry.
 #[derive(Clone, PartialEq, Message)]
 pub struct UsageRecord {
     /// The instance.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// Which of its starts.
+    /// The time of its start in ms, which distinguishes its restarts.
     #[prost(uint64, tag = "2")]
     pub start: u64,
-    /// Windows in full.
+    /// The complete counts of windows.
     #[prost(message, repeated, tag = "3")]
     pub windows: Vec<WindowCounts>,
-    /// The window that it is in: earlier ones are over for it.
+    /// The number of the entry's current window; its counts of earlier ones no longer change.
     #[prost(uint64, tag = "4")]
     pub current: u64,
 }
 
-/// What a steward is about to do.
+/// A leader's record, appended before each action and as a heartbeat.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaderRecord {
     /// The instance.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// Which of its starts.
+    /// The time of its start in ms, which distinguishes its restarts.
     #[prost(uint64, tag = "2")]
     pub start: u64,
-    /// A window that is reported from now on with these figures only.
+    /// A window that is frozen: from now on it is reported with these counts only.
     #[prost(message, optional, tag = "3")]
     pub frozen: Option<WindowCounts>,
-    /// The last window whose report was accepted.
+    /// The number of the last window whose report was accepted; 0 for none.
     #[prost(uint64, tag = "4")]
     pub reported: u64,
-    /// What failure domains had when they were first seen.
+    /// The numbers of endpoints of failure domains when they were first observed.
     #[prost(message, repeated, tag = "5")]
     pub bases: Vec<BaseMessage>,
 }
 
-/// What a failure domain had of a service when it was first seen.
+/// The number of endpoints of a service in a failure domain when it was first observed.
 #[derive(Clone, PartialEq, Message)]
 pub struct BaseMessage {
     /// The service.
@@ -75,13 +75,13 @@
     /// The failure domain.
     #[prost(string, tag = "2")]
     pub domain: String,
-    /// Its endpoints then.
+    /// The number of endpoints at that time.
     #[prost(uint32, tag = "3")]
     pub endpoints: u32,
 }
 
 impl BaseMessage {
-    /// The message of a base.
+    /// Encodes a base.
     pub fn new(base: &DomainBase) -> BaseMessage {
         BaseMessage {
             service: base.service.to_string(),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The base as the product's own type, if the names are any.
+    /// Decodes the base; `None` if one of its names is invalid.
     pub fn base(&self) -> Option<DomainBase> {
         Some(DomainBase {
             service: ServiceName::new(self.service.as_str()).ok()?,
@@ -101,7 +101,7 @@
 }
 
 impl UsageRecord {
-    /// What a writer counted, while it is in the window `current`.
+    /// The record of the counts of `writer`, whose current window is `current`.
     pub fn new(
         writer: &MeterWriter,
         windows: &[(UsageWindow, MeteredCounts)],
@@ -120,7 +120,7 @@
 }
 
 impl WindowCounts {
-    /// The counts of a window.
+    /// Encodes the counts of a window.
     pub fn new(window: UsageWindow, counts: &MeteredCounts) -> WindowCounts {
         let requests = counts
             .iter()
@@ -131,24 +131,24 @@
         }
     }
 
-    /// The counts as the product's own types; names that are none are left out.
+    /// Decodes the counts; those with an invalid organisation name are left out.
     pub fn counts(&self) -> MeteredCounts {
         let requests = self.requests.iter();
-        let named = requests.filter_map(|(name, count)| {
+        let valid = requests.filter_map(|(name, count)| {
             let name = OrganisationId::new(name.as_str()).ok()?;
             Some((name, *count))
         });
-        named.collect()
+        valid.collect()
     }
 }
 
-/// The writer that a record names, if it names one.
-pub fn writer(instance: &str, start: u64) -> Option<MeterWriter> {
+/// The writer of a record; `None` if the name of the instance is invalid.
+pub fn parse_writer(instance: &str, start: u64) -> Option<MeterWriter> {
     let instance = InstanceId::new(instance).ok()?;
     Some(MeterWriter { instance, start })
 }
 
-/// A record's bytes.
+/// Encodes a record.
 pub fn encode<Record>(record: &Record) -> Bytes
 where
     Record: Message,
--- a/crates/ingress/src/leader/task.rs
+++ b/crates/ingress/src/leader/task.rs
@@ -1,4 +1,4 @@
-//! Standing for the stewardship, and acting while it is held.
+//! Competing for leadership, and carrying out the leader's duties while it is held.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -22,77 +22,79 @@
     context::EntryContext,
     leader::records::{
         BaseMessage, LEADER_PART, LeaderRecord, USAGE_PART, UsageRecord, WindowCounts, encode,
-        writer,
+        parse_writer,
     },
     sync::StoreBackoff,
     time::wall_time,
 };
 
-/// How long after its end a window is frozen: entries publish their last counts
-/// some ms after it, and the store may be slow.
-const FREEZE_AFTER: TimeSpan = TimeSpan::from_millis(1_600);
+/// How long after its end a window may be frozen: entries publish their last counts some ms
+/// after the end, and the store may be slow.
+const FREEZE_DELAY: TimeSpan = TimeSpan::from_millis(1_600);
 
-/// How long before a report is due it is sent, whoever has not published: a failed
-/// report can be repeated once in this time, and a next steward can take over.
+/// How long before it is due a report is sent even if some instances have not published. In
+/// this time a failed report can be retried once, and another leader can take over.
 const REPORT_MARGIN: TimeSpan = TimeSpan::from_millis(3_000);
 
-/// How long the store may hold back a read of the stewards' topic.
+/// How long the store may hold a read of the leaders' topic until there is a record.
 const READ_WAIT: TimeSpan = TimeSpan::from_millis(4_500);
 
-/// How long one call may take: the right to act is over by then.
+/// The timeout of one call, within which the right to act expires.
 pub(super) const CALL_TIMEOUT: TimeSpan = TimeSpan::from_millis(900);
 
-/// How often a steward looks whether there is something to do.
-const STEP: Duration = Duration::from_millis(250);
+/// The pause between two checks for work.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often the counts are read while a window waits for some.
-const USAGE_INTERVAL: TimeSpan = TimeSpan::from_millis(700);
+/// How often the usage counts are read while a window lacks some.
+const USAGE_READ_INTERVAL: TimeSpan = TimeSpan::from_millis(700);
 
-/// How many windows back are reported after an outage.
-const WINDOWS_BACK: u64 = 3;
+/// The number of past windows that are still reported after an outage.
+const MAX_WINDOWS_BACK: u64 = 3;
 
-/// The duties of one process: those of the steward while it is the steward,
-/// waiting for the steward's silence otherwise.
+/// The leadership task of one process: carries out the duties while the process is the
+/// leader, and otherwise waits until the leader stops appending records.
 #[derive(Debug)]
 pub struct LeaderTask {
     pub(super) context: Arc<EntryContext>,
     pub(super) client: DutyClient,
-    seat: StewardSeat,
-    /// Figures that were frozen, by this steward or one before it.
+    leadership: StewardSeat,
+    /// The counts of windows that this leader or an earlier one has frozen.
     frozen: BTreeMap<UsageWindow, MeteredCounts>,
+    /// The last window whose report was accepted.
     reported: Option<UsageWindow>,
     pub(super) planner: ProvisionPlanner,
     ledger: UsageLedger,
     usage_next: LogOffset,
     usage_read_at: Option<ClockTime>,
-    /// When this process last appended.
-    beat_at: Option<ClockTime>,
-    started: UsageWindow,
+    /// When this process last appended a record.
+    appended_at: Option<ClockTime>,
+    /// The window in which this process started.
+    first_window: UsageWindow,
 }
 
 impl LeaderTask {
-    /// A process that knows nothing yet.
+    /// A task of a process that has not read the topic yet.
     pub fn new(context: Arc<EntryContext>, client: DutyClient) -> LeaderTask {
         let lease = context.settings.bounds.lease;
-        let seat = StewardSeat::new(context.now(), context.writer.clone(), lease);
-        let started = UsageWindow::at(wall_time(), context.settings.bounds.usage_window);
+        let leadership = StewardSeat::new(context.now(), context.writer.clone(), lease);
+        let first_window = UsageWindow::at(wall_time(), context.settings.bounds.usage_window);
         LeaderTask {
             context,
             client,
-            seat,
+            leadership,
             frozen: BTreeMap::new(),
             reported: None,
             planner: ProvisionPlanner::new(),
             ledger: UsageLedger::new(),
             usage_next: LogOffset::START,
             usage_read_at: None,
-            beat_at: None,
-            started,
+            appended_at: None,
+            first_window,
         }
     }
 
-    /// Serves for good.
-    pub async fn serve(mut self) {
+    /// Runs the task; never returns.
+    pub async fn run(mut self) {
         let mut backoff = StoreBackoff::new("steward");
         loop {
             let step = self.step().await;
@@ -106,56 +108,59 @@
 
     async fn step(&mut self) -> Result<(), CallError> {
         if self.context.stopping.is_cancelled() {
-            // Somebody else takes over after the lease; nothing is begun here.
-            tokio::time::sleep(STEP).await;
+            // Another instance takes over after the lease; nothing is started here.
+            tokio::time::sleep(POLL_INTERVAL).await;
             return Ok(());
         }
-        if !self.seat.is_steward() {
-            // Only readers stand for it: each candidate has to follow the topic.
+        if !self.leadership.is_steward() {
+            // Only readers are candidates, since each candidate has to follow the topic.
             if !self.context.is_reader() {
-                tokio::time::sleep(STEP).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
                 return Ok(());
             }
-            return self.wait_for_silence().await;
+            return self.wait_for_takeover().await;
         }
         if let Some(window) = self.window_to_report()
-            && self.report(window).await?
+            && self.report_window(window).await?
         {
             return Ok(());
         }
-        let steps = self.provision_steps();
+        let steps = self.due_steps();
         if !steps.is_empty() {
-            return self.provide(steps).await;
+            return self.carry_out(steps).await;
         }
         let now = self.context.now();
-        if self.beat_at.is_none_or(|at| now.since(at) >= STEWARD_BEAT) {
+        if self
+            .appended_at
+            .is_none_or(|at| now.since(at) >= STEWARD_BEAT)
+        {
             return self.append(None).await.map(drop);
         }
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         Ok(())
     }
 
-    /// Reads on; appends if the steward has been silent for too long.
-    async fn wait_for_silence(&mut self) -> Result<(), CallError> {
-        let wait = match self.seat.end() {
+    /// Reads the topic; appends a record if the leader has not appended one for too long.
+    async fn wait_for_takeover(&mut self) -> Result<(), CallError> {
+        let wait = match self.leadership.end() {
             None => TimeSpan::ZERO,
-            Some(_) => READ_WAIT.min(self.seat.patience_left(self.context.now())),
+            Some(_) => READ_WAIT.min(self.leadership.patience_left(self.context.now())),
         };
-        self.read(wait).await?;
-        if !self.seat.is_steward() && self.seat.may_append(self.context.now()) {
+        self.read_records(wait).await?;
+        if !self.leadership.is_steward() && self.leadership.may_append(self.context.now()) {
             self.append(None).await?;
-            if self.seat.is_steward() {
+            if self.leadership.is_steward() {
                 LogLine::new("steward").with("outcome", "taken_over").info();
             }
         }
-        if self.seat.steward().is_none() {
-            tokio::time::sleep(STEP).await;
+        if self.leadership.steward().is_none() {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    async fn read(&mut self, wait: TimeSpan) -> Result<(), CallError> {
-        let from = self.seat.end().unwrap_or(LogOffset::START);
+    async fn read_records(&mut self, wait: TimeSpan) -> Result<(), CallError> {
+        let from = self.leadership.end().unwrap_or(LogOffset::START);
         let timeout = wait + CALL_TIMEOUT;
         match self
             .context
@@ -165,25 +170,25 @@
         {
             Ok(ReadAnswer::Records { records, end }) => {
                 for record in records {
-                    self.take(record.offset, &record.bytes);
+                    self.apply_record(record.offset, &record.bytes);
                 }
-                self.seat.note_end(end);
+                self.leadership.note_end(end);
                 Ok(())
             }
             Ok(ReadAnswer::Forgotten { first }) => {
-                self.seat.note_end(first);
+                self.leadership.note_end(first);
                 Ok(())
             }
-            // A topic that nobody has written to does not exist yet.
+            // A topic without any record does not exist yet.
             Err(CallError::Status { status: 404, .. }) => {
-                self.seat.note_end(LogOffset::START);
+                self.leadership.note_end(LogOffset::START);
                 Ok(())
             }
             Err(error) => Err(error),
         }
     }
 
-    fn take(&mut self, offset: LogOffset, bytes: &[u8]) {
+    fn apply_record(&mut self, offset: LogOffset, bytes: &[u8]) {
         let record = match LeaderRecord::decode(bytes) {
             Ok(record) => record,
             Err(error) => {
@@ -194,7 +199,7 @@
                 return;
             }
         };
-        let Some(writer) = writer(&record.instance, record.start) else {
+        let Some(writer) = parse_writer(&record.instance, record.start) else {
             return;
         };
         if let Some(frozen) = &record.frozen {
@@ -207,7 +212,8 @@
         for base in record.bases.iter().filter_map(BaseMessage::base) {
             self.planner.set_base(base);
         }
-        self.seat.note_record(self.context.now(), offset, writer);
+        self.leadership
+            .note_record(self.context.now(), offset, writer);
     }
 
     fn note_reported(&mut self, window: UsageWindow) {
@@ -216,22 +222,22 @@
         self.frozen.retain(|window, _| Some(*window) > reported);
     }
 
-    /// The oldest window that is over and has not been reported.
+    /// The oldest window that has ended and has not been reported.
     fn window_to_report(&self) -> Option<UsageWindow> {
         let length = self.context.settings.bounds.usage_window;
-        let current = UsageWindow::at(wall_time() - FREEZE_AFTER, length);
-        let oldest = UsageWindow::new(current.number().saturating_sub(WINDOWS_BACK));
-        let next = self.reported.map_or(self.started, UsageWindow::next);
+        let current = UsageWindow::at(wall_time() - FREEZE_DELAY, length);
+        let oldest = UsageWindow::new(current.number().saturating_sub(MAX_WINDOWS_BACK));
+        let next = self.reported.map_or(self.first_window, UsageWindow::next);
         let window = next.max(oldest);
         (window < current).then_some(window)
     }
 
-    /// Reports a window; answers whether anything was done, or has to wait.
-    async fn report(&mut self, window: UsageWindow) -> Result<bool, CallError> {
+    /// Freezes and reports a window; returns false if it can't be frozen yet.
+    async fn report_window(&mut self, window: UsageWindow) -> Result<bool, CallError> {
         let counts = match self.frozen.get(&window) {
             Some(counts) => counts.clone(),
             None => {
-                self.read_usage_at_times().await?;
+                self.read_usage_if_due().await?;
                 if !self.may_freeze(window) {
                     return Ok(false);
                 }
@@ -242,7 +248,7 @@
         let Some(grant) = self.append(Some(frozen)).await? else {
             return Ok(true);
         };
-        // Whatever was frozen first holds, should two have frozen the window.
+        // If the window was frozen twice, the counts that were frozen first are valid.
         let counts = self.frozen.entry(window).or_insert(counts).clone();
         if counts.is_empty() {
             self.note_reported(window);
@@ -268,18 +274,18 @@
             }
             Err(error) => {
                 line.with("outcome", "failed").with("error", error).warn();
-                tokio::time::sleep(STEP).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(true)
     }
 
-    /// Whether the figures of a window are whole: each instance that is alive has
-    /// published after its end, or there is no more time to wait.
+    /// Whether the counts of a window are complete, because each instance that is alive has
+    /// published after its end, or must be frozen to be reported in time.
     ///
-    /// An instance that is cut off from the store goes on serving for some seconds,
-    /// and publishes what it counted when it is back; a report without its counts
-    /// would be off by its whole share.
+    /// An instance that is partitioned from the store continues to serve requests for some
+    /// seconds, and publishes its counts when it is back. A report without them would lack
+    /// all of its requests.
     fn may_freeze(&self, window: UsageWindow) -> bool {
         let bounds = &self.context.settings.bounds;
         let end_ms = window.next().number() * bounds.usage_window.as_millis();
@@ -290,11 +296,11 @@
         let now = self.context.now();
         let peers = self.context.peers.lock();
         let mut alive = peers.alive(now).map(|(instance, _)| instance);
-        let own = &self.context.writer.instance;
+        let local = &self.context.writer.instance;
         let domain = &self.context.settings.domain;
         let mut pending = self.ledger.pending(window);
         alive.all(|peer| self.ledger.is_complete(peer, window))
-            && self.ledger.is_complete(own, window)
+            && self.ledger.is_complete(local, window)
             && !pending.any(|peer| peers.is_represented(now, domain, peer))
     }
 
@@ -305,8 +311,8 @@
         }
     }
 
-    /// Appends a record where the topic ends as far as this process has read it.
-    /// Nothing comes back if somebody else has written meanwhile.
+    /// Appends a record only if the topic still ends where this process has read up to.
+    /// Returns the right to act, or `None` if another process has appended meanwhile.
     pub(super) async fn append(
         &mut self,
         frozen: Option<WindowCounts>,
@@ -318,7 +324,7 @@
             reported: self.reported.map_or(0, UsageWindow::number),
             bases: self.planner.bases().iter().map(BaseMessage::new).collect(),
         };
-        let end = self.seat.end();
+        let end = self.leadership.end();
         let sent = self.context.now();
         let records = [encode(&record)];
         let store = &self.context.store;
@@ -326,31 +332,31 @@
         match appended {
             Ok(AppendAnswer::Appended { offset }) => {
                 let now = self.context.now();
-                self.beat_at = Some(now);
+                self.appended_at = Some(now);
                 if let Some(frozen) = frozen {
                     let window = UsageWindow::new(frozen.window);
                     self.frozen.entry(window).or_insert_with(|| frozen.counts());
                 }
-                Ok(Some(self.seat.appended(now, sent, offset)))
+                Ok(Some(self.leadership.appended(now, sent, offset)))
             }
             Ok(AppendAnswer::EndMoved { .. }) => {
-                self.read(TimeSpan::ZERO).await?;
+                self.read_records(TimeSpan::ZERO).await?;
                 Ok(None)
             }
             Err(error) => {
-                // It may be carried out all the same, so what stands there now is
-                // read before anything else is tried.
-                self.read(TimeSpan::ZERO).await?;
+                // The append may have been carried out nevertheless, so the topic is read
+                // before anything else is attempted.
+                self.read_records(TimeSpan::ZERO).await?;
                 Err(error)
             }
         }
     }
 
-    async fn read_usage_at_times(&mut self) -> Result<(), CallError> {
+    async fn read_usage_if_due(&mut self) -> Result<(), CallError> {
         let now = self.context.now();
         if self
             .usage_read_at
-            .is_some_and(|at| now.since(at) < USAGE_INTERVAL)
+            .is_some_and(|at| now.since(at) < USAGE_READ_INTERVAL)
         {
             return Ok(());
         }
@@ -368,7 +374,7 @@
             match read.await {
                 Ok(ReadAnswer::Records { records, end }) => {
                     for record in &records {
-                        self.take_usage(&record.bytes);
+                        self.note_usage(&record.bytes);
                     }
                     let next = records.last().map_or(end, |record| record.offset.next());
                     self.usage_next = next;
@@ -383,7 +389,7 @@
         }
     }
 
-    fn take_usage(&mut self, bytes: &[u8]) {
+    fn note_usage(&mut self, bytes: &[u8]) {
         let record = match UsageRecord::decode(bytes) {
             Ok(record) => record,
             Err(error) => {
@@ -393,7 +399,7 @@
                 return;
             }
         };
-        let Some(writer) = writer(&record.instance, record.start) else {
+        let Some(writer) = parse_writer(&record.instance, record.start) else {
             return;
         };
         let current = UsageWindow::new(record.current);
--- a/crates/ingress/src/peers/broadcast.rs
+++ b/crates/ingress/src/peers/broadcast.rs
@@ -162,8 +162,8 @@
     /// Whether this instance sends the state of its failure domain to other ones.
     fn is_domain_representative(&self, now: ClockTime) -> bool {
         let peers = self.context.peers.lock();
-        let (own, domain) = (&self.context.writer.instance, &self.context.settings.domain);
-        !peers.is_full_mesh() && peers.is_representative(now, own, domain)
+        let (local, domain) = (&self.context.writer.instance, &self.context.settings.domain);
+        !peers.is_full_mesh() && peers.is_representative(now, local, domain)
     }
 
     /// Sends the state of this failure domain to other ones, if not all instances send to
--- a/crates/ingress/src/peers/relay.rs
+++ b/crates/ingress/src/peers/relay.rs
@@ -19,14 +19,14 @@
 impl EntryContext {
     /// Whether this instance reads the store for its failure domain.
     pub fn is_reader(&self) -> bool {
-        let (own, domain) = (&self.writer.instance, &self.settings.domain);
-        self.peers.lock().is_reader(self.now(), own, domain)
+        let (local, domain) = (&self.writer.instance, &self.settings.domain);
+        self.peers.lock().is_reader(self.now(), local, domain)
     }
 
     /// The instance that reads the store for this failure domain.
     pub fn reader(&self) -> InstanceId {
-        let (own, domain) = (&self.writer.instance, &self.settings.domain);
-        self.peers.lock().reader(self.now(), own, domain)
+        let (local, domain) = (&self.writer.instance, &self.settings.domain);
+        self.peers.lock().reader(self.now(), local, domain)
     }
 
     /// Whether the configuration and keys here are older than relayed ones may be.
@@ -98,8 +98,12 @@
 pub fn apply(context: &EntryContext, peer: &InstanceId, message: &PeerMessage) {
     let Some(relay) = &message.relay else { return };
     let now = context.now();
-    let (own, domain) = (&context.writer.instance, &context.settings.domain);
-    if !context.peers.lock().is_peer_reader(now, own, domain, peer) {
+    let (local, domain) = (&context.writer.instance, &context.settings.domain);
+    if !context
+        .peers
+        .lock()
+        .is_peer_reader(now, local, domain, peer)
+    {
         return;
     }
     let Some(echo) = PeerTable::echoed_stamp(message.echo) else {
@@ -149,13 +153,13 @@
 
 fn log_advertised_version(context: &EntryContext, peer: &InstanceId, version: u64) {
     context.metrics.advertised_version.set(version as i64);
-    let own = context.belief.lock().version();
-    if own == Some(version) {
+    let in_force = context.belief.lock().version();
+    if in_force == Some(version) {
         return;
     }
     LogLine::new("configuration")
         .with("version", version)
-        .with("own_version", own.unwrap_or_default())
+        .with("own_version", in_force.unwrap_or_default())
         .with("source", peer)
         .with("outcome", "advertised")
         .info();
--- a/crates/ingress/src/peers/table.rs
+++ b/crates/ingress/src/peers/table.rs
@@ -205,16 +205,16 @@
         self.peers.len() < MIN_PEERS_FOR_REPRESENTATIVES
     }
 
-    /// Whether `own` represents `domain` in the other failure domains: the representatives
+    /// Whether `local` represents `domain` in the other failure domains: the representatives
     /// are the first by name of the instances there that are alive.
     pub fn is_representative(
         &self,
         now: ClockTime,
-        own: &InstanceId,
+        local: &InstanceId,
         domain: &FailureDomain,
     ) -> bool {
         let alive = self.alive_in(now, domain);
-        alive.filter(|(name, _)| *name < own).count() < REPRESENTATIVES_PER_DOMAIN
+        alive.filter(|(name, _)| *name < local).count() < REPRESENTATIVES_PER_DOMAIN
     }
 
     /// Whether any peer in `domain` is alive.
@@ -273,29 +273,29 @@
         unreachable.map(|(domain, _)| domain.clone()).collect()
     }
 
-    /// The instance that reads the store for `domain`, as seen by `own` there.
-    pub fn reader(&self, now: ClockTime, own: &InstanceId, domain: &FailureDomain) -> InstanceId {
+    /// The instance that reads the store for `domain`, as seen by `local` there.
+    pub fn reader(&self, now: ClockTime, local: &InstanceId, domain: &FailureDomain) -> InstanceId {
         let alive = self.alive_in(now, domain);
-        let names = alive.map(|(name, _)| name).chain([own]);
-        names.min().unwrap_or(own).clone()
+        let names = alive.map(|(name, _)| name).chain([local]);
+        names.min().unwrap_or(local).clone()
     }
 
-    /// Whether `own` reads the store for its failure domain `domain`.
-    pub fn is_reader(&self, now: ClockTime, own: &InstanceId, domain: &FailureDomain) -> bool {
+    /// Whether `local` reads the store for its failure domain `domain`.
+    pub fn is_reader(&self, now: ClockTime, local: &InstanceId, domain: &FailureDomain) -> bool {
         let alive = self.alive_in(now, domain);
-        relay::is_reader(own, alive.map(|(instance, _)| instance))
+        relay::is_reader(local, alive.map(|(instance, _)| instance))
     }
 
-    /// Whether `instance` reads the store for `domain`, as seen by `own` there.
+    /// Whether `instance` reads the store for `domain`, as seen by `local` there.
     pub fn is_peer_reader(
         &self,
         now: ClockTime,
-        own: &InstanceId,
+        local: &InstanceId,
         domain: &FailureDomain,
         instance: &InstanceId,
     ) -> bool {
         let alive = self.alive_in(now, domain);
-        let others = alive.map(|(name, _)| name).chain([own]);
+        let others = alive.map(|(name, _)| name).chain([local]);
         relay::is_reader(instance, others.filter(|name| *name != instance))
     }
 
--- a/crates/ingress/tests/peer_scale.rs
+++ b/crates/ingress/tests/peer_scale.rs
@@ -47,7 +47,7 @@
     FailureDomain::new(format!("domain-{number}").as_str()).unwrap()
 }
 
-fn known(port: u16) -> KnownPeer {
+fn known_peer(port: u16) -> KnownPeer {
     KnownPeer {
         address: ([127, 0, 0, 1], port).into(),
         start: 1,
@@ -63,7 +63,7 @@
         let entries = ports.clone().map(|port| {
             let mut table = PeerTable::new();
             for other in ports.clone().filter(|other| *other != port) {
-                table.register(&instance(other), known(other));
+                table.register(&instance(other), known_peer(other));
             }
             let entry = SimulatedEntry {
                 domain: domain(port),
