--- a/crates/ingress/src/leader/task.rs
+++ b/crates/ingress/src/leader/task.rs
@@ -39,7 +39,7 @@
 /// How long the store may hold a read of the leaders' topic until there is a record.
 const READ_WAIT: TimeSpan = TimeSpan::from_millis(4_500);
 
-/// The timeout of one call, within which the right to act expires.
+/// The timeout of one call; a longer call would outlast the right to act.
 pub(super) const CALL_TIMEOUT: TimeSpan = TimeSpan::from_millis(900);
 
 /// The pause between two checks for work.
