--- a/crates/core/src/placement/engine.rs
+++ b/crates/core/src/placement/engine.rs
@@ -1,14 +1,14 @@
-//! Choosing engines for a prompt: where it is prefilled and where it runs.
+//! Selects the engines that prefill a prompt and run its request.
 //!
-//! Each engine is modelled as a queue of prefills: those that this entry sent and
-//! that are not done, and those that the other entries say they have there. What
-//! a prompt adds to a queue are the tokens that the engine doesn't hold. Entries
-//! tell each other where they sent shared parts; what nobody has told is decided
-//! by rendezvous hashing, so that entries agree before they have talked.
+//! Each engine is modelled as a queue of unfinished prefills: those that this entry
+//! sent, and those that other entries report. A prompt adds to the queue the tokens
+//! that the engine doesn't hold yet. Entries broadcast where they sent shared parts.
+//! For parts without such a report the engine is selected by rendezvous hashing, so
+//! that entries agree before they have exchanged any message.
 //!
-//! The engine that runs a request is chosen when its prompt is prefilled: what
-//! was known at its arrival may be a second old by then, and the engine may be
-//! about to leave.
+//! The engine that runs a request is selected when its prompt has been prefilled: the
+//! state known when the request arrived may be a second old by then, and the engine may
+//! be about to leave.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -31,101 +31,104 @@
     routing::{EndpointHealth, RoutingSettings},
 };
 
-/// Tokens that an engine prefills in a ms, reckoned with until prefills are seen: a
-/// low one, so that a new entry doesn't crowd an engine.
-const FIRST_PREFILL_RATE: f64 = 55.0;
-/// The bounds of what is believed of a measured rate, in tokens a ms.
-const PREFILL_RATES: (f64, f64) = (5.0, 1_000.0);
-/// The weight of the newest measurement of the prefill rate.
-const RATE_WEIGHT: f64 = 0.05;
-/// Prompts below this size measure the fixed cost rather than the rate.
-const RATE_SAMPLE_TOKENS: f64 = 1_500.0;
-/// The fixed time of a request before its first token, in ms.
-const FIXED_MS: f64 = 20.0;
-/// How much slower an engine of the decode stage prefills.
+/// Prefill rate of an engine in tokens per ms, assumed until one has been measured. It
+/// is low, so that a new entry doesn't overload an engine.
+const INITIAL_PREFILL_RATE: f64 = 55.0;
+/// Lower and upper bound of a measured prefill rate, in tokens per ms.
+const PREFILL_RATE_BOUNDS: (f64, f64) = (5.0, 1_000.0);
+/// Weight of the newest measurement in the moving average of the prefill rate.
+const RATE_SMOOTHING: f64 = 0.05;
+/// Minimum size in tokens of a prefill that is used to measure the rate; the time of
+/// smaller ones is mostly fixed cost.
+const MIN_RATE_SAMPLE_TOKENS: f64 = 1_500.0;
+/// Fixed part of the time to the first token of a request, in ms.
+const FIXED_LATENCY_MS: f64 = 20.0;
+/// Factor by which an engine of the decode stage prefills more slowly.
 const DECODE_STAGE_SLOWDOWN: f64 = 2.0;
-/// The fixed time of a hand-over between engines, in ms.
+/// Fixed time of a handover between engines, in ms.
 const HANDOVER_MS: f64 = 8.0;
-/// How many times a hand-over takes longer between failure domains.
-const FAR_HANDOVER: f64 = 2.0;
-/// What prefill work costs beside its own time, per ms of it: it keeps others
-/// waiting, and takes the place of what others would find. A weight that is too high
-/// has a popular part flood one engine while others idle.
-const WORK_WEIGHT: f64 = 0.5;
-/// The share of a shared part that is taken to be held by its rendezvous engine
-/// when nobody is known to have sent it there.
-const RENDEZVOUS_TRUST: f64 = 0.5;
-/// What a running request adds to the cost of an engine that decodes, in ms.
-const RUNNING_MS: f64 = 1.0;
-/// What a prefill on an engine of the decode stage costs those that run there, in
-/// ms: each of their tokens waits for a piece of the prompt, which stretches their
-/// pauses beyond what is on time.
-const MIXED_MS: f64 = 1_000.0;
-/// How long an engine that was ordered to change its stage is taken to be away,
-/// unless it says sooner that it is back: it ends its work, is away for some 3 s,
-/// and says so with its next heartbeat.
-const SWITCH_PATIENCE: TimeSpan = TimeSpan::from_millis(7_000);
-/// How long an engine that refused a request gets no other, at first: others would
-/// be refused as well, and each refusal counts as a repeat. The pause doubles with
-/// each refusal in a row, as an engine that changes its stage is away for seconds.
+/// Factor by which the transfer of a handover takes longer between failure domains.
+const CROSS_DOMAIN_HANDOVER_FACTOR: f64 = 2.0;
+/// Additional cost per ms of prefill work: the work delays other requests and evicts
+/// prefixes that they would reuse. If this weight is too high, a popular part is sent
+/// to one engine only and overloads it while others are idle.
+const PREFILL_WORK_WEIGHT: f64 = 0.5;
+/// The share of a shared part that its rendezvous engine is assumed to hold when no
+/// entry is known to have sent the part there.
+const RENDEZVOUS_HELD_SHARE: f64 = 0.5;
+/// Cost in ms that each running request adds to an engine that decodes.
+const RUNNING_REQUEST_COST_MS: f64 = 1.0;
+/// Cost in ms of a prefill on an engine of the decode stage for the requests that run
+/// there: each of their tokens waits for a chunk of the prompt, which stretches the
+/// gaps between tokens beyond the objective.
+const DECODE_INTERFERENCE_MS: f64 = 1_000.0;
+/// How long an engine that was ordered to change its stage is assumed to be
+/// unavailable, unless it reports the new stage sooner: it finishes its work, is
+/// unavailable for about 3 s, and reports the stage with its next heartbeat.
+const STAGE_SWITCH_TIMEOUT: TimeSpan = TimeSpan::from_millis(7_000);
+/// How long an engine that refused a request is excluded from selection at first: other
+/// requests would be refused too, and each refusal counts as a retry. The pause doubles
+/// with each consecutive refusal, as an engine that changes its stage is unavailable
+/// for seconds.
 const REFUSAL_PAUSE: TimeSpan = TimeSpan::from_millis(150);
-/// How often the pause doubles at most: to 1.2 s.
-const REFUSAL_DOUBLINGS: u32 = 3;
-/// How long an engine gets nothing that refused another entry.
-const TOLD_REFUSAL_PAUSE: TimeSpan = TimeSpan::from_millis(400);
-/// The least share of the engines that is considered for a request: two of some
+/// Maximum number of doublings of the pause, which limits it to 1.2 s.
+const MAX_REFUSAL_DOUBLINGS: u32 = 3;
+/// How long an engine that refused a request of another entry is excluded from
+/// selection.
+const PEER_REFUSAL_PAUSE: TimeSpan = TimeSpan::from_millis(400);
+/// Minimum share of the engines that are candidates for a request: two engines of a few
 /// hundred.
-const LEAST_CONSIDERED: f64 = 0.005;
-/// By how much costs are varied, so that entries with the same picture don't all
-/// take the same engine.
+const MIN_CANDIDATE_SHARE: f64 = 0.005;
+/// Maximum relative random increase of a cost, so that entries with the same state
+/// don't all select the same engine.
 const COST_NOISE: f64 = 0.05;
 
-/// An endpoint that a request is sent to.
+/// The id and address of an endpoint to which a request is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointTarget {
-    /// The endpoint.
+    /// The endpoint's id.
     pub id: EndpointId,
-    /// Where it listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
 }
 
-/// Prefill work that a plan puts into an engine's queue.
+/// Prefill work that is planned for an engine's queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PrefillPlan {
     /// The engine that prefills.
     pub engine: EndpointTarget,
-    /// Whether the engine runs the request as well.
+    /// Whether the same engine also runs the request.
     pub runs_request: bool,
-    /// The time that the prefill itself takes, in ms.
+    /// Estimated time of the prefill itself, in ms.
     pub work_ms: f64,
-    /// Tokens of the prompt that the engine holds already.
+    /// Tokens of the prompt that the engine is assumed to hold already.
     pub held_tokens: u64,
     /// Tokens to be prefilled.
     pub tokens: u64,
-    /// When the first token is expected, from now.
+    /// Expected time from now to the first token.
     pub first_token: TimeSpan,
     rank: usize,
     was_idle: bool,
 }
 
-/// Names a prefill in an engine's queue.
+/// Identifies a prefill in an engine's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefillTicket(u64);
 
-/// A request that looks for engines.
+/// A request for which engines are selected.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanRequest<'a> {
-    /// Its service.
+    /// The request's service.
     pub service: &'a ServiceName,
-    /// What the operator says of the service's engines.
+    /// The operator's settings for the service's engines.
     pub rule: &'a EngineRule,
-    /// Its prompt.
+    /// The request's prompt.
     pub work: &'a PromptWork,
-    /// Its urgency, 0 being the first.
+    /// The request's priority; 0 is the most urgent.
     pub priority: u8,
-    /// Engines that it must not go to again.
+    /// Engines to which the request must not be sent.
     pub excluded: &'a [EndpointId],
-    /// For how much longer its caller waits.
+    /// Time left until the caller's deadline.
     pub time_left: TimeSpan,
 }
 
@@ -135,35 +138,37 @@
     }
 }
 
-/// Why there is no engine.
+/// The reason why no engine was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlacementError {
-    /// None is registered, or all were tried.
-    #[error("no engine is left")]
+    /// No engine that accepts work is registered for the service, or all are excluded.
+    #[error("no engine of the service is available for the request")]
     NoEngineLeft,
-    /// On none of them would the first token come in time.
-    #[error("the first token would come {late} too late on each engine")]
+    /// No engine would produce the first token before the deadline.
+    #[error(
+        "no engine can produce the first token before the deadline: the earliest would be {late} late"
+    )]
     TooLate {
-        /// By how much, on the engine where it would come first.
+        /// Time from the deadline to the earliest first token on any engine.
         late: TimeSpan,
     },
 }
 
-/// What entries tell each other of one engine.
+/// The load that an entry reports for one engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerLoad {
-    /// The engine, by the hash of its id.
+    /// Hash of the engine's id.
     pub engine: u64,
-    /// What the teller has there.
+    /// The load that the reporting entry has placed on the engine.
     pub load: EngineLoad,
 }
 
-/// A part of a prompt that was sent to an engine.
+/// A part of a prompt that an entry reports to have sent to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerPart {
-    /// The engine, by the hash of its id.
+    /// Hash of the engine's id.
     pub engine: u64,
-    /// The part's id.
+    /// Id of the part.
     pub part: u64,
 }
 
@@ -176,14 +181,15 @@
     service: ServiceName,
     domain: FailureDomain,
     stage: Option<EngineStage>,
-    /// The stage that it was ordered to take, and when that was heard.
-    ordered: Option<(EngineStage, ClockTime)>,
-    /// Until when it is left alone because it refused work that it had room for.
-    refuses_until: ClockTime,
-    /// Until when that is so by this entry's own experience.
-    refused_until: ClockTime,
-    /// How often it refused in a row.
-    refusals: u32,
+    /// The stage that the engine was ordered to take, and when the order was received.
+    ordered_stage: Option<(EngineStage, ClockTime)>,
+    /// The engine is excluded from selection until then, as it refused a request of
+    /// this or another entry.
+    excluded_until: ClockTime,
+    /// The part of that time that results from refusals of this entry's own requests.
+    local_refusal_until: ClockTime,
+    /// Number of consecutive refusals.
+    consecutive_refusals: u32,
     is_leaving: bool,
     queue: EngineQueue,
     health: EndpointHealth,
@@ -201,88 +207,92 @@
         self.stage != Some(EngineStage::Prefill)
     }
 
-    /// Whether it is away to change its stage. An order that was given may not have
-    /// been heard, so after some time it is tried again as what it says it is.
+    /// Whether the engine is unavailable because it changes its stage. The order may
+    /// not have reached it, so after the timeout the engine is used again in the stage
+    /// that it reports.
     fn is_switching(&self, now: ClockTime) -> bool {
-        self.ordered
-            .is_some_and(|(stage, at)| self.stage != Some(stage) && now.since(at) < SWITCH_PATIENCE)
+        self.ordered_stage.is_some_and(|(stage, at)| {
+            self.stage != Some(stage) && now.since(at) < STAGE_SWITCH_TIMEOUT
+        })
     }
 
-    fn takes_work(&self, now: ClockTime) -> bool {
+    fn accepts_work(&self, now: ClockTime) -> bool {
         !self.is_leaving && !self.is_switching(now)
     }
 
-    /// Whether it has neither failed nor refused work lately.
-    fn is_sound(&self, now: ClockTime) -> bool {
-        !self.health.is_ejected(now) && now >= self.refuses_until
+    /// Whether the engine is neither ejected nor excluded after a refusal.
+    fn is_healthy(&self, now: ClockTime) -> bool {
+        !self.health.is_ejected(now) && now >= self.excluded_until
     }
 }
 
-/// What this entry knows of all engines.
+/// State of all engines, as known to this entry.
 #[derive(Clone, Debug)]
 pub struct EngineTable {
     settings: RoutingSettings,
     random: ChaCha8Rng,
-    books: BTreeMap<EndpointId, EngineState>,
+    engines: BTreeMap<EndpointId, EngineState>,
     by_hash: BTreeMap<u64, EndpointId>,
-    places: PartLocations,
-    rates: BTreeMap<ServiceName, f64>,
+    part_locations: PartLocations,
+    prefill_rates: BTreeMap<ServiceName, f64>,
     next_number: u32,
     next_ticket: u64,
-    /// What has not been told to the other entries.
-    untold: Vec<PeerPart>,
-    silent_domains: BTreeSet<FailureDomain>,
-    /// The share of the engines that is considered for a request.
-    considered: f64,
+    /// Parts that have not been broadcast to the other entries yet.
+    unsent_parts: Vec<PeerPart>,
+    unreachable_domains: BTreeSet<FailureDomain>,
+    /// The share of the engines that are candidates for a request.
+    candidate_share: f64,
 }
 
-/// The most parts that wait to be told; the oldest are dropped, which costs a
-/// wrong guess.
-const UNTOLD_LIMIT: usize = 256;
+/// Maximum number of parts that wait to be broadcast. The oldest are dropped, which
+/// gives other entries a wrong estimate of what an engine holds.
+const MAX_UNSENT_PARTS: usize = 256;
 
 impl EngineTable {
-    /// No engine.
+    /// Creates an empty table.
     pub fn new(settings: RoutingSettings) -> EngineTable {
         EngineTable {
             settings,
             random: ChaCha8Rng::seed_from_u64(0),
-            books: BTreeMap::new(),
+            engines: BTreeMap::new(),
             by_hash: BTreeMap::new(),
-            places: PartLocations::new(),
-            rates: BTreeMap::new(),
+            part_locations: PartLocations::new(),
+            prefill_rates: BTreeMap::new(),
             next_number: 0,
             next_ticket: 0,
-            untold: Vec::new(),
-            silent_domains: BTreeSet::new(),
-            considered: 1.0,
+            unsent_parts: Vec::new(),
+            unreachable_domains: BTreeSet::new(),
+            candidate_share: 1.0,
         }
     }
 
-    /// Draws ties from `seed`.
+    /// Seeds the random sampling of candidates and the noise of costs.
     pub fn with_seed(mut self, seed: u64) -> EngineTable {
         self.random = ChaCha8Rng::seed_from_u64(seed);
         self
     }
 
-    /// Takes a registration; a new start forgets what the engine held.
+    /// Adds or updates an engine. A registration with a new start discards the state of
+    /// the previous process.
     pub fn set_engine(&mut self, now: ClockTime, registration: &EndpointRegistration) {
-        let known = self.books.get_mut(&registration.id);
-        if let Some(book) = known.filter(|book| book.start == registration.start) {
-            if book.stage != registration.stage {
-                book.stage = registration.stage;
-                book.ordered = None;
+        let existing = self.engines.get_mut(&registration.id);
+        if let Some(state) = existing.filter(|state| state.start == registration.start) {
+            if state.stage != registration.stage {
+                state.stage = registration.stage;
+                state.ordered_stage = None;
             }
-            book.is_leaving = registration.is_leaving;
-            book.target.address = registration.address;
+            state.is_leaving = registration.is_leaving;
+            state.target.address = registration.address;
             return;
         }
         self.remove_engine(&registration.id);
         let hash = xxh3_64_with_seed(registration.id.as_str().as_bytes(), 0);
-        // Preemptible engines prefill, and start in the other stage. Their order
-        // comes within a second; what ran there until then would stand in its way.
+        // Preemptible engines prefill, but start in the decode stage. The order to
+        // change the stage arrives within a second; requests that run there until then
+        // would delay it.
         let awaits_order =
             registration.is_preemptible && registration.stage == Some(EngineStage::Decode);
-        let book = EngineState {
+        let state = EngineState {
             number: self.next_number,
             hash,
             target: EndpointTarget {
@@ -293,73 +303,78 @@
             service: registration.service.clone(),
             domain: registration.domain.clone(),
             stage: registration.stage,
-            ordered: awaits_order.then_some((EngineStage::Prefill, now)),
-            refuses_until: ClockTime::default(),
-            refused_until: ClockTime::default(),
-            refusals: 0,
+            ordered_stage: awaits_order.then_some((EngineStage::Prefill, now)),
+            excluded_until: ClockTime::default(),
+            local_refusal_until: ClockTime::default(),
+            consecutive_refusals: 0,
             is_leaving: registration.is_leaving,
             queue: EngineQueue::new(),
             health: EndpointHealth::new(),
         };
         self.next_number += 1;
         self.by_hash.insert(hash, registration.id.clone());
-        self.books.insert(registration.id.clone(), book);
+        self.engines.insert(registration.id.clone(), state);
     }
 
-    /// The engine is gone.
+    /// Removes an engine that is no longer registered.
     pub fn remove_engine(&mut self, id: &EndpointId) {
-        if let Some(book) = self.books.remove(id) {
-            self.places.forget_engine(book.number);
-            self.by_hash.remove(&book.hash);
+        if let Some(state) = self.engines.remove(id) {
+            self.part_locations.forget_engine(state.number);
+            self.by_hash.remove(&state.hash);
         }
     }
 
-    /// Tokens that an engine of the service prefills in a ms, as measured.
+    /// Returns the measured prefill rate of the service's engines, in tokens per ms.
     pub fn prefill_rate(&self, service: &ServiceName) -> f64 {
-        let rate = self.rates.get(service).copied();
-        rate.unwrap_or(FIRST_PREFILL_RATE)
+        let rate = self.prefill_rates.get(service).copied();
+        rate.unwrap_or(INITIAL_PREFILL_RATE)
     }
 
-    /// Chooses the engine that prefills a request's prompt.
+    /// Selects the engine that prefills a request's prompt.
+    ///
+    /// Returns an error if no engine is left, or if none would produce the first token
+    /// before the deadline.
     pub fn plan(
         &mut self,
         now: ClockTime,
-        ask: PlanRequest<'_>,
+        request: PlanRequest<'_>,
     ) -> Result<PrefillPlan, PlacementError> {
-        for sound_only in [true, false] {
-            if let Some(plan) = self.best_plan(now, ask, sound_only) {
-                self.check_time(now, ask, sound_only, &plan)?;
+        for healthy_only in [true, false] {
+            if let Some(plan) = self.best_plan(now, request, healthy_only) {
+                self.check_deadline(now, request, healthy_only, &plan)?;
                 return Ok(plan);
             }
         }
         Err(PlacementError::NoEngineLeft)
     }
 
-    /// Refuses what no engine can begin before its caller has left.
+    /// Refuses a request that no engine can begin before its deadline.
     ///
-    /// In a flood prompts wait in the engines until their deadlines pass: callers wait
-    /// for nothing, and prompts that are read for those who have left keep the next
-    /// ones waiting. Whatever waits at one engine, another one may be free; so all are
-    /// asked before a request is refused.
-    fn check_time(
+    /// Under overload, prompts wait in the engines until their deadlines pass: their
+    /// callers wait in vain, and prompts that are prefilled for callers that have
+    /// disconnected delay the next ones. One engine may be idle while others have long
+    /// queues, so all engines are checked before a request is refused.
+    fn check_deadline(
         &self,
         now: ClockTime,
-        ask: PlanRequest<'_>,
-        sound_only: bool,
+        request: PlanRequest<'_>,
+        healthy_only: bool,
         plan: &PrefillPlan,
     ) -> Result<(), PlacementError> {
-        if plan.first_token <= ask.time_left {
+        if plan.first_token <= request.time_left {
             return Ok(());
         }
-        let soonest = self.usable(now, ask, sound_only).map(|book| {
-            let work_ms = self.prefill_at(now, book, &ask, false).work_ms;
-            book.queue.wait_ms(now, ask.rank()) + work_ms
-        });
-        let soonest_ms = soonest.min_by(f64::total_cmp).unwrap_or_default();
-        let soonest = TimeSpan::from_millis(soonest_ms as u64);
-        match soonest > ask.time_left {
+        let earliest = self
+            .usable_engines(now, request, healthy_only)
+            .map(|state| {
+                let work_ms = self.prefill_plan(now, state, &request, false).work_ms;
+                state.queue.wait_ms(now, request.rank()) + work_ms
+            });
+        let earliest_ms = earliest.min_by(f64::total_cmp).unwrap_or_default();
+        let earliest = TimeSpan::from_millis(earliest_ms as u64);
+        match earliest > request.time_left {
             true => Err(PlacementError::TooLate {
-                late: soonest.less(ask.time_left),
+                late: earliest.less(request.time_left),
             }),
             false => Ok(()),
         }
@@ -368,154 +383,162 @@
     fn best_plan(
         &mut self,
         now: ClockTime,
-        ask: PlanRequest<'_>,
-        sound_only: bool,
+        request: PlanRequest<'_>,
+        healthy_only: bool,
     ) -> Option<PrefillPlan> {
-        let books: Vec<&EngineState> = self.usable(now, ask, sound_only).collect();
-        let handover_ms = books
+        let engines: Vec<&EngineState> = self.usable_engines(now, request, healthy_only).collect();
+        let handover_ms = engines
             .iter()
-            .filter(|book| book.runs_requests())
-            .map(|book| run_cost_ms(now, book, None, ask))
+            .filter(|state| state.runs_requests())
+            .map(|state| run_cost_ms(now, state, None, request))
             .min_by(f64::total_cmp)?;
-        let preferred = rendezvous(&books, ask.work);
-        let mut costs: Vec<(f64, PrefillPlan)> = Vec::with_capacity(books.len());
-        let share = self.considered;
+        let preferred = rendezvous_engine(&engines, request.work);
+        let mut costs: Vec<(f64, PrefillPlan)> = Vec::with_capacity(engines.len());
+        let share = self.candidate_share;
         let mut random = self.random.clone();
-        for (place, book) in books.iter().enumerate() {
-            // Of the last two, both are taken if nobody else was.
-            let is_needed = costs.len() + (books.len() - place) <= 2;
-            let is_drawn = is_needed || random.random_bool(share);
-            let is_near = preferred == Some(book.number)
-                || self.places.held(now, book.number, &ask.work.parts) > 0;
-            if !is_drawn && !is_near {
+        for (index, state) in engines.iter().enumerate() {
+            // The last two engines are both candidates if there are no others.
+            let is_required = costs.len() + (engines.len() - index) <= 2;
+            let is_sampled = is_required || random.random_bool(share);
+            let holds_prefix = preferred == Some(state.number)
+                || self
+                    .part_locations
+                    .held(now, state.number, &request.work.parts)
+                    > 0;
+            if !is_sampled && !holds_prefix {
                 continue;
             }
-            let mut plan = self.prefill_at(now, book, &ask, preferred == Some(book.number));
-            let wait_ms = book.queue.wait_ms(now, ask.rank());
-            let rest_ms = match book.stage {
-                Some(EngineStage::Decode) => MIXED_MS,
+            let mut plan = self.prefill_plan(now, state, &request, preferred == Some(state.number));
+            let wait_ms = state.queue.wait_ms(now, request.rank());
+            let overhead_ms = match state.stage {
+                Some(EngineStage::Decode) => DECODE_INTERFERENCE_MS,
                 Some(EngineStage::Prefill) => handover_ms,
-                None => f64::from(book.queue.running(now)) * RUNNING_MS,
+                None => f64::from(state.queue.running(now)) * RUNNING_REQUEST_COST_MS,
             };
-            let first_token_ms = wait_ms + plan.work_ms + FIXED_MS + rest_ms;
+            let first_token_ms = wait_ms + plan.work_ms + FIXED_LATENCY_MS + overhead_ms;
             plan.first_token = TimeSpan::from_millis(first_token_ms as u64);
-            costs.push((first_token_ms + WORK_WEIGHT * plan.work_ms, plan));
+            costs.push((first_token_ms + PREFILL_WORK_WEIGHT * plan.work_ms, plan));
         }
         self.random = random;
-        self.least(costs)
+        self.cheapest(costs)
     }
 
-    fn usable<'a>(
+    fn usable_engines<'a>(
         &'a self,
         now: ClockTime,
-        ask: PlanRequest<'a>,
-        sound_only: bool,
+        request: PlanRequest<'a>,
+        healthy_only: bool,
     ) -> impl Iterator<Item = &'a EngineState> {
-        self.books.values().filter(move |book| {
-            book.service == *ask.service
-                && book.takes_work(now)
-                && !ask.excluded.contains(&book.target.id)
-                && (!sound_only || self.is_sound(now, book))
+        self.engines.values().filter(move |state| {
+            state.service == *request.service
+                && state.accepts_work(now)
+                && !request.excluded.contains(&state.target.id)
+                && (!healthy_only || self.is_healthy(now, state))
         })
     }
 
-    fn is_sound(&self, now: ClockTime, book: &EngineState) -> bool {
-        book.is_sound(now) && !self.silent_domains.contains(&book.domain)
+    fn is_healthy(&self, now: ClockTime, state: &EngineState) -> bool {
+        state.is_healthy(now) && !self.unreachable_domains.contains(&state.domain)
     }
 
-    /// Sets the share of the engines that is considered for a request, besides those
-    /// that hold something of its prompt.
+    /// Sets the share of the engines that are candidates for a request, in addition to
+    /// those that hold a part of its prompt.
     ///
-    /// Entries hear of each other's work with a delay. If all of them took the least
-    /// busy engine of all, everything that arrives in that time would go to the same
-    /// few, and streams there would stall while others idle. Of a part drawn at
-    /// random each takes another one; two candidates are nearly as good as all of
-    /// them would be if everything were known.
+    /// Entries receive each other's load reports with a delay. If every entry selected
+    /// the least loaded of all engines, all requests that arrive within that delay
+    /// would go to the same few engines, and streams there would stall while other
+    /// engines are idle. In a random sample the least loaded engine differs between
+    /// entries; two candidates are nearly as good as all engines would be with complete
+    /// information.
     pub fn set_candidate_share(&mut self, share: f64) {
-        self.considered = share.clamp(LEAST_CONSIDERED, 1.0);
+        self.candidate_share = share.clamp(MIN_CANDIDATE_SHARE, 1.0);
     }
 
-    /// Failure domains that seem to be cut off from here; their engines are taken
-    /// only if there are no others.
+    /// Sets the failure domains that seem unreachable from here; their engines are
+    /// selected only if there are no others.
     pub fn set_unreachable_domains(&mut self, domains: BTreeSet<FailureDomain>) {
-        self.silent_domains = domains;
+        self.unreachable_domains = domains;
     }
 
-    fn prefill_at(
+    fn prefill_plan(
         &self,
         now: ClockTime,
-        book: &EngineState,
-        ask: &PlanRequest<'_>,
+        state: &EngineState,
+        request: &PlanRequest<'_>,
         is_preferred: bool,
     ) -> PrefillPlan {
-        let held = self.places.held(now, book.number, &ask.work.parts);
-        let shared: u64 = ask.work.shared().iter().map(|part| part.tokens).sum();
-        let believed = if is_preferred && held < shared {
+        let held = self
+            .part_locations
+            .held(now, state.number, &request.work.parts);
+        let shared: u64 = request.work.shared().iter().map(|part| part.tokens).sum();
+        let assumed = if is_preferred && held < shared {
             let missing = (shared - held) as f64;
-            held + (missing * RENDEZVOUS_TRUST) as u64
+            held + (missing * RENDEZVOUS_HELD_SHARE) as u64
         } else {
             held
         };
-        let prompt = ask.work.prompt.count();
-        let tokens = prompt.saturating_sub(believed).max(1);
-        let rate = self.prefill_rate(ask.service) / book.prefill_slowdown();
+        let prompt = request.work.prompt.count();
+        let tokens = prompt.saturating_sub(assumed).max(1);
+        let rate = self.prefill_rate(request.service) / state.prefill_slowdown();
         PrefillPlan {
-            engine: book.target.clone(),
-            runs_request: book.runs_requests(),
+            engine: state.target.clone(),
+            runs_request: state.runs_requests(),
             work_ms: tokens as f64 / rate,
-            held_tokens: believed,
+            held_tokens: assumed,
             tokens,
             first_token: TimeSpan::ZERO,
-            rank: ask.rank(),
-            was_idle: book.queue.is_idle(now),
+            rank: request.rank(),
+            was_idle: state.queue.is_idle(now),
         }
     }
 
-    /// Chooses the engine that runs a request whose prompt lies at `source`.
+    /// Selects the engine that runs a request whose prompt was prefilled at `source`.
+    ///
+    /// Returns an error if no engine is left.
     pub fn choose_runner(
         &mut self,
         now: ClockTime,
-        ask: PlanRequest<'_>,
+        request: PlanRequest<'_>,
         source: &EndpointId,
     ) -> Result<EndpointTarget, PlacementError> {
-        let domain = self.books.get(source).map(|book| book.domain.clone());
-        for sound_only in [true, false] {
-            let runners = self.usable(now, ask, sound_only);
-            let runners = runners.filter(|book| book.runs_requests());
-            let costs = runners.map(|book| {
-                let cost = run_cost_ms(now, book, domain.as_ref(), ask);
-                (cost, book.target.clone())
+        let domain = self.engines.get(source).map(|state| state.domain.clone());
+        for healthy_only in [true, false] {
+            let runners = self.usable_engines(now, request, healthy_only);
+            let runners = runners.filter(|state| state.runs_requests());
+            let costs = runners.map(|state| {
+                let cost = run_cost_ms(now, state, domain.as_ref(), request);
+                (cost, state.target.clone())
             });
             let mut costs: Vec<(f64, EndpointTarget)> = costs.collect();
-            let count = (costs.len() as f64 * self.considered).ceil() as usize;
-            self.draw(&mut costs, count.max(2));
-            if let Some(target) = self.least(costs) {
+            let count = (costs.len() as f64 * self.candidate_share).ceil() as usize;
+            self.sample(&mut costs, count.max(2));
+            if let Some(target) = self.cheapest(costs) {
                 return Ok(target);
             }
         }
         Err(PlacementError::NoEngineLeft)
     }
 
-    /// Keeps `count` of the candidates, drawn at random.
-    fn draw<Candidate>(&mut self, candidates: &mut Vec<Candidate>, count: usize) {
+    /// Keeps a random sample of `count` candidates.
+    fn sample<Candidate>(&mut self, candidates: &mut Vec<Candidate>, count: usize) {
         while candidates.len() > count {
-            let place = self.random.random_range(0..candidates.len());
-            candidates.swap_remove(place);
+            let index = self.random.random_range(0..candidates.len());
+            candidates.swap_remove(index);
         }
     }
 
-    /// The candidate that costs least, with a little noise.
-    fn least<Candidate>(&mut self, costs: Vec<(f64, Candidate)>) -> Option<Candidate> {
+    /// Returns the candidate with the lowest cost after random noise.
+    fn cheapest<Candidate>(&mut self, costs: Vec<(f64, Candidate)>) -> Option<Candidate> {
         let noisy = costs.into_iter().map(|(cost, candidate)| {
             let noise = self.random.random_range(1.0..1.0 + COST_NOISE);
             (cost * noise, candidate)
         });
-        let best = noisy.min_by(|one, two| one.0.total_cmp(&two.0));
-        best.map(|(_, candidate)| candidate)
+        let cheapest = noisy.min_by(|a, b| a.0.total_cmp(&b.0));
+        cheapest.map(|(_, candidate)| candidate)
     }
 
-    /// The prefill was sent: it lengthens the engine's queue, and its parts will
-    /// be held there.
+    /// Records that the prefill was sent: it is added to the engine's queue, and the
+    /// engine is assumed to hold its parts.
     pub fn prefill_sent(
         &mut self,
         now: ClockTime,
@@ -524,21 +547,23 @@
     ) -> PrefillTicket {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
-        if let Some(book) = self.books.get_mut(&plan.engine.id) {
-            book.queue.push(now, ticket, plan.rank, plan.work_ms);
-            self.places.note(now, book.number, &work.parts);
-            let told = work.shared().iter().map(|part| PeerPart {
-                engine: book.hash,
+        if let Some(state) = self.engines.get_mut(&plan.engine.id) {
+            state.queue.push(now, ticket, plan.rank, plan.work_ms);
+            self.part_locations
+                .note_parts(now, state.number, &work.parts);
+            let unsent = work.shared().iter().map(|part| PeerPart {
+                engine: state.hash,
                 part: part.id,
             });
-            self.untold.extend(told);
-            let excess = self.untold.len().saturating_sub(UNTOLD_LIMIT);
-            self.untold.drain(..excess);
+            self.unsent_parts.extend(unsent);
+            let excess = self.unsent_parts.len().saturating_sub(MAX_UNSENT_PARTS);
+            self.unsent_parts.drain(..excess);
         }
         PrefillTicket(ticket)
     }
 
-    /// The prefill is done: its first token or its handle came.
+    /// Records that the prefill is done, that is, its first token or its handle has
+    /// arrived.
     pub fn prefill_done(
         &mut self,
         now: ClockTime,
@@ -546,129 +571,143 @@
         ticket: PrefillTicket,
         sent: ClockTime,
     ) {
-        let Some(book) = self.books.get_mut(&plan.engine.id) else {
+        let Some(state) = self.engines.get_mut(&plan.engine.id) else {
             return;
         };
-        book.queue.remove(now, ticket.0);
-        book.health.succeed(now, &self.settings);
-        book.refusals = 0;
-        let slowdown = book.prefill_slowdown();
-        let service = book.service.clone();
+        state.queue.remove(now, ticket.0);
+        state.health.succeed(now, &self.settings);
+        state.consecutive_refusals = 0;
+        let slowdown = state.prefill_slowdown();
+        let service = state.service.clone();
         let tokens = plan.tokens as f64;
-        let took = now.since(sent).as_millis() as f64 - FIXED_MS;
-        if !plan.was_idle || tokens < RATE_SAMPLE_TOKENS || took < 1.0 {
+        let prefill_ms = now.since(sent).as_millis() as f64 - FIXED_LATENCY_MS;
+        if !plan.was_idle || tokens < MIN_RATE_SAMPLE_TOKENS || prefill_ms < 1.0 {
             return;
         }
-        let rate = self.rates.entry(service).or_insert(FIRST_PREFILL_RATE);
-        let measured = (tokens / took * slowdown).clamp(PREFILL_RATES.0, PREFILL_RATES.1);
-        *rate += RATE_WEIGHT * (measured - *rate);
+        let rate = self
+            .prefill_rates
+            .entry(service)
+            .or_insert(INITIAL_PREFILL_RATE);
+        let measured =
+            (tokens / prefill_ms * slowdown).clamp(PREFILL_RATE_BOUNDS.0, PREFILL_RATE_BOUNDS.1);
+        *rate += RATE_SMOOTHING * (measured - *rate);
     }
 
-    /// The prefill will not be done there: it was refused, failed or given up.
+    /// Records that the engine will not do the prefill: it was refused, failed or was
+    /// abandoned.
     pub fn prefill_dropped(&mut self, now: ClockTime, plan: &PrefillPlan, ticket: PrefillTicket) {
-        if let Some(book) = self.books.get_mut(&plan.engine.id) {
-            book.queue.remove(now, ticket.0);
+        if let Some(state) = self.engines.get_mut(&plan.engine.id) {
+            state.queue.remove(now, ticket.0);
         }
     }
 
-    /// A request began to run on the engine.
+    /// Counts a request that started to run on the engine.
     pub fn run_started(&mut self, id: &EndpointId) {
-        if let Some(book) = self.books.get_mut(id) {
-            book.queue.run_started();
+        if let Some(state) = self.engines.get_mut(id) {
+            state.queue.run_started();
         }
     }
 
-    /// A request no longer runs on the engine.
+    /// Counts a request that no longer runs on the engine.
     pub fn run_ended(&mut self, id: &EndpointId) {
-        if let Some(book) = self.books.get_mut(id) {
-            book.queue.run_ended();
+        if let Some(state) = self.engines.get_mut(id) {
+            state.queue.run_ended();
         }
     }
 
-    /// The engine served a request to its end.
+    /// Records that the engine completed a request.
     pub fn succeeded(&mut self, now: ClockTime, id: &EndpointId) {
-        if let Some(book) = self.books.get_mut(id) {
-            book.health.succeed(now, &self.settings);
-            book.refusals = 0;
+        if let Some(state) = self.engines.get_mut(id) {
+            state.health.succeed(now, &self.settings);
+            state.consecutive_refusals = 0;
         }
     }
 
-    /// The engine failed, refused or fell silent. Answers the length of an ejection.
+    /// Records that the engine failed, refused a request or timed out. Returns the
+    /// duration of the ejection if the engine is ejected for it.
     pub fn failed(&mut self, now: ClockTime, id: &EndpointId) -> Option<TimeSpan> {
-        let book = self.books.get_mut(id)?;
-        book.health.fail(now, &self.settings, &mut self.random)
+        let state = self.engines.get_mut(id)?;
+        state.health.fail(now, &self.settings, &mut self.random)
     }
 
-    /// The engine was ordered to change its stage.
+    /// Records that the engine was ordered to change its stage.
     pub fn stage_ordered(&mut self, now: ClockTime, engine: u64, stage: EngineStage) {
         let id = self.by_hash.get(&engine);
-        let Some(book) = id.and_then(|id| self.books.get_mut(id)) else {
+        let Some(state) = id.and_then(|id| self.engines.get_mut(id)) else {
             return;
         };
-        // The order is told several times; its time is that of the first.
-        if book.ordered.is_none_or(|(known, _)| known != stage) {
-            book.ordered = Some((stage, now));
+        // The order is received several times; the first time is kept.
+        if state
+            .ordered_stage
+            .is_none_or(|(existing, _)| existing != stage)
+        {
+            state.ordered_stage = Some((stage, now));
         }
     }
 
-    /// The hash that entries name the engine by.
+    /// Returns the hash that identifies the engine in messages between entries.
     pub fn hash(&self, id: &EndpointId) -> Option<u64> {
-        self.books.get(id).map(|book| book.hash)
+        self.engines.get(id).map(|state| state.hash)
     }
 
-    /// The engine refused a request without running it.
+    /// Records that the engine refused a request without running it.
     pub fn refused(&mut self, now: ClockTime, id: &EndpointId) {
-        if let Some(book) = self.books.get_mut(id) {
-            let doublings = book.refusals.min(REFUSAL_DOUBLINGS);
-            book.refused_until = now + REFUSAL_PAUSE.times(1 << doublings);
-            book.refuses_until = book.refuses_until.max(book.refused_until);
-            book.refusals += 1;
+        if let Some(state) = self.engines.get_mut(id) {
+            let doublings = state.consecutive_refusals.min(MAX_REFUSAL_DOUBLINGS);
+            state.local_refusal_until = now + REFUSAL_PAUSE.times(1 << doublings);
+            state.excluded_until = state.excluded_until.max(state.local_refusal_until);
+            state.consecutive_refusals += 1;
         }
     }
 
-    /// The engines that refused this entry lately, for the others to know.
+    /// Returns the hashes of the engines that refused requests of this entry recently,
+    /// to be broadcast to the other entries.
     pub fn refusing(&self, now: ClockTime) -> Vec<u64> {
-        let refusing = self.books.values().filter(|book| now < book.refused_until);
-        refusing.map(|book| book.hash).collect()
+        let refusing = self
+            .engines
+            .values()
+            .filter(|state| now < state.local_refusal_until);
+        refusing.map(|state| state.hash).collect()
     }
 
-    /// Another entry was refused by the engine.
+    /// Records that the engine refused a request of another entry.
     pub fn note_peer_refusal(&mut self, now: ClockTime, engine: u64) {
         let id = self.by_hash.get(&engine);
-        if let Some(book) = id.and_then(|id| self.books.get_mut(id)) {
-            book.refuses_until = book.refuses_until.max(now + TOLD_REFUSAL_PAUSE);
+        if let Some(state) = id.and_then(|id| self.engines.get_mut(id)) {
+            state.excluded_until = state.excluded_until.max(now + PEER_REFUSAL_PAUSE);
         }
     }
 
-    /// The engine says that requests like the last one are not for its stage: it
-    /// has changed it, and its registration does not say so yet.
+    /// Records that the engine rejected a request as one for the other stage: it has
+    /// changed its stage, and its registration does not show that yet.
     pub fn note_wrong_stage(&mut self, id: &EndpointId) {
-        if let Some(book) = self.books.get_mut(id) {
-            book.stage = match book.stage {
+        if let Some(state) = self.engines.get_mut(id) {
+            state.stage = match state.stage {
                 Some(EngineStage::Decode) => Some(EngineStage::Prefill),
                 Some(EngineStage::Prefill) => Some(EngineStage::Decode),
                 None => None,
             };
-            book.ordered = None;
+            state.ordered_stage = None;
         }
     }
 
-    /// What this entry has at each engine where it has anything.
+    /// Returns the load that this entry has placed on each engine, leaving out engines
+    /// without any.
     pub fn local_loads(&self) -> Vec<PeerLoad> {
-        let loads = self.books.values().map(|book| PeerLoad {
-            engine: book.hash,
-            load: book.queue.own(),
+        let loads = self.engines.values().map(|state| PeerLoad {
+            engine: state.hash,
+            load: state.queue.local_load(),
         });
-        loads.filter(|told| !told.load.is_empty()).collect()
+        loads.filter(|report| !report.load.is_empty()).collect()
     }
 
-    /// The parts that were sent since this was last asked.
+    /// Returns and clears the parts that were sent since the last call.
     pub fn take_unsent_parts(&mut self) -> Vec<PeerPart> {
-        std::mem::take(&mut self.untold)
+        std::mem::take(&mut self.unsent_parts)
     }
 
-    /// Another entry told what it has at engines: everything, so engines that it
-    /// does not name have nothing of it.
+    /// Stores the load that another entry reports. A report is complete, so the entry
+    /// has no load on engines that the report does not name.
     pub fn note_peer(
         &mut self,
         now: ClockTime,
@@ -676,45 +715,51 @@
         loads: &[PeerLoad],
         parts: &[PeerPart],
     ) {
-        for book in self.books.values_mut() {
-            let told = loads.iter().find(|told| told.engine == book.hash);
-            let load = told.map(|told| told.load.clone()).unwrap_or_default();
-            book.queue.note_peer(now, peer, load);
+        for state in self.engines.values_mut() {
+            let report = loads.iter().find(|report| report.engine == state.hash);
+            let load = report.map(|report| report.load.clone()).unwrap_or_default();
+            state.queue.note_peer(now, peer, load);
         }
-        for told in parts {
-            let id = self.by_hash.get(&told.engine);
-            if let Some(book) = id.and_then(|id| self.books.get(id)) {
-                self.places.note_id(now, book.number, told.part);
+        for report in parts {
+            let id = self.by_hash.get(&report.engine);
+            if let Some(state) = id.and_then(|id| self.engines.get(id)) {
+                self.part_locations
+                    .note_part(now, state.number, report.part);
             }
         }
     }
 }
 
-/// What running a request on an engine costs until its next token: the hand-over
-/// from `source`, the prefills that the engine has to do itself, and its batch.
+/// Returns the cost in ms of running a request on an engine until its next token: the
+/// handover from `source`, the prefills queued at the engine, and the requests that run
+/// there.
 fn run_cost_ms(
     now: ClockTime,
-    book: &EngineState,
+    state: &EngineState,
     source: Option<&FailureDomain>,
-    ask: PlanRequest<'_>,
+    request: PlanRequest<'_>,
 ) -> f64 {
-    let bytes = ask.work.prompt.count() * ask.rule.token_bytes.count();
-    let transfer_ms = bytes as f64 / ask.rule.link_bytes_per_ms.max(1) as f64;
-    let is_far = source.is_some_and(|source| *source != book.domain);
-    let far = if is_far { FAR_HANDOVER } else { 1.0 };
-    let wait_ms = book.queue.wait_ms(now, ask.rank());
-    let running_ms = f64::from(book.queue.running(now)) * RUNNING_MS;
-    HANDOVER_MS + transfer_ms * far + wait_ms + running_ms
+    let bytes = request.work.prompt.count() * request.rule.token_bytes.count();
+    let transfer_ms = bytes as f64 / request.rule.link_bytes_per_ms.max(1) as f64;
+    let is_cross_domain = source.is_some_and(|source| *source != state.domain);
+    let handover_factor = if is_cross_domain {
+        CROSS_DOMAIN_HANDOVER_FACTOR
+    } else {
+        1.0
+    };
+    let wait_ms = state.queue.wait_ms(now, request.rank());
+    let running_ms = f64::from(state.queue.running(now)) * RUNNING_REQUEST_COST_MS;
+    HANDOVER_MS + transfer_ms * handover_factor + wait_ms + running_ms
 }
 
-/// The engine that all entries take the last shared part to belong to: of the
-/// engines that prefill at full speed, the one with the greatest hash.
-fn rendezvous(books: &[&EngineState], work: &PromptWork) -> Option<u32> {
+/// Returns the number of the engine to which all entries assign the last shared part:
+/// of the engines that prefill at full speed, the one with the highest hash.
+fn rendezvous_engine(engines: &[&EngineState], work: &PromptWork) -> Option<u32> {
     let part = work.shared().last()?;
-    let has_fast = books.iter().any(|book| book.prefill_slowdown() == 1.0);
-    let candidates = books
+    let has_fast = engines.iter().any(|state| state.prefill_slowdown() == 1.0);
+    let candidates = engines
         .iter()
-        .filter(|book| !has_fast || book.prefill_slowdown() == 1.0);
-    let score = |book: &&&EngineState| xxh3_64_with_seed(&book.hash.to_le_bytes(), part.id);
-    candidates.max_by_key(score).map(|book| book.number)
+        .filter(|state| !has_fast || state.prefill_slowdown() == 1.0);
+    let score = |state: &&&EngineState| xxh3_64_with_seed(&state.hash.to_le_bytes(), part.id);
+    candidates.max_by_key(score).map(|state| state.number)
 }
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,12 +1,12 @@
-//! Which endpoints run a request.
+//! Selects the endpoints that run a request.
 //!
-//! For model engines ([`EngineBooks`]) the load is prompts: a long prompt takes
-//! an engine for a tenth of a second, and half of it may lie there already from
-//! an earlier request. So the first question is which engine holds the shared
-//! parts, the second how long its prefill queue is, the third whether an engine
-//! that only prefills should do it and hand over. Replicas of plain services
-//! ([`ReplicaBooks`]) differ in speed and fail in parts; the least busy sound one
-//! is taken.
+//! For model engines ([`EngineTable`]) the load is the prompts to be prefilled: a long
+//! prompt occupies an engine for a tenth of a second, and half of it may be held there
+//! already from an earlier request. The choice therefore depends first on which engine
+//! holds the shared parts of the prompt, then on the length of that engine's prefill
+//! queue, and then on whether an engine of the prefill stage should prefill the prompt
+//! and hand it over. Replicas of plain services ([`ReplicaTable`]) differ in speed and
+//! may fail for some requests only; the least loaded healthy replica is selected.
 
 mod engine;
 mod parts;
--- a/crates/core/src/placement/parts.rs
+++ b/crates/core/src/placement/parts.rs
@@ -1,4 +1,4 @@
-//! Where the parts of prompts were last read.
+//! Records which engines hold which parts of prompts.
 
 use std::collections::HashMap;
 
@@ -7,84 +7,88 @@
     placement::PromptPart,
 };
 
-/// How long a part is taken to stay in an engine's memory after its last use: shorter
-/// than a busy engine takes to fill its memory anew.
-const PART_LIFE: TimeSpan = TimeSpan::from_secs(12);
+/// How long an engine is assumed to hold a part after its last use: less than a busy
+/// engine takes to replace the contents of its memory.
+const PART_TTL: TimeSpan = TimeSpan::from_secs(12);
 
-/// The most parts that are remembered; the oldest go first.
-const PARTS_LIMIT: usize = 20_000;
+/// Maximum number of parts recorded. If more are left once the expired ones are
+/// removed, all are dropped.
+const MAX_PARTS: usize = 20_000;
 
 #[derive(Clone, Copy, Debug)]
-struct PartPlace {
+struct PartLocation {
     engine: u32,
     used_at: ClockTime,
 }
 
-/// Which engines hold which parts, as far as this entry knows.
+/// The parts that each engine is known to hold, as recorded by this entry.
 #[derive(Clone, Debug, Default)]
 pub struct PartLocations {
-    places: HashMap<u64, Vec<PartPlace>>,
-    swept_at: ClockTime,
+    locations: HashMap<u64, Vec<PartLocation>>,
+    last_sweep: ClockTime,
 }
 
 impl PartLocations {
-    /// Nothing known.
+    /// Creates an empty record.
     pub fn new() -> PartLocations {
         PartLocations::default()
     }
 
-    /// The engine with this number reads or has the parts.
-    pub fn note(&mut self, now: ClockTime, engine: u32, parts: &[PromptPart]) {
+    /// Records that the engine with this number prefills or holds the parts.
+    pub fn note_parts(&mut self, now: ClockTime, engine: u32, parts: &[PromptPart]) {
         for part in parts {
-            self.note_id(now, engine, part.id);
+            self.note_part(now, engine, part.id);
         }
         self.sweep(now);
     }
 
-    /// The engine reads or has the part with this id.
-    pub fn note_id(&mut self, now: ClockTime, engine: u32, id: u64) {
-        let places = self.places.entry(id).or_default();
-        match places.iter_mut().find(|place| place.engine == engine) {
-            Some(place) => place.used_at = place.used_at.max(now),
-            None => places.push(PartPlace {
+    /// Records that the engine prefills or holds the part with this id.
+    pub fn note_part(&mut self, now: ClockTime, engine: u32, id: u64) {
+        let locations = self.locations.entry(id).or_default();
+        match locations
+            .iter_mut()
+            .find(|location| location.engine == engine)
+        {
+            Some(location) => location.used_at = location.used_at.max(now),
+            None => locations.push(PartLocation {
                 engine,
                 used_at: now,
             }),
         }
     }
 
-    /// How many tokens at the start of the prompt the engine holds. A part counts
-    /// only if all parts before it are held.
+    /// Returns the number of tokens at the start of the prompt that the engine holds. A
+    /// part counts only if all parts before it are held.
     pub fn held(&self, now: ClockTime, engine: u32, parts: &[PromptPart]) -> u64 {
         let holds = |part: &&PromptPart| {
-            let places = self.places.get(&part.id);
-            places
+            let locations = self.locations.get(&part.id);
+            locations
                 .into_iter()
                 .flatten()
-                .any(|place| place.engine == engine && now.since(place.used_at) < PART_LIFE)
+                .any(|location| location.engine == engine && now.since(location.used_at) < PART_TTL)
         };
         parts.iter().take_while(holds).map(|part| part.tokens).sum()
     }
 
-    /// The engine lost its memory.
+    /// Removes all records of an engine, as it has lost its memory.
     pub fn forget_engine(&mut self, engine: u32) {
-        for places in self.places.values_mut() {
-            places.retain(|place| place.engine != engine);
+        for locations in self.locations.values_mut() {
+            locations.retain(|location| location.engine != engine);
         }
     }
 
     fn sweep(&mut self, now: ClockTime) {
-        let due = now.since(self.swept_at) >= PART_LIFE;
-        if !due && self.places.len() <= PARTS_LIMIT {
+        let is_due = now.since(self.last_sweep) >= PART_TTL;
+        if !is_due && self.locations.len() <= MAX_PARTS {
             return;
         }
-        self.swept_at = now;
-        self.places.retain(|_, places| {
-            places.retain(|place| now.since(place.used_at) < PART_LIFE);
-            !places.is_empty()
+        self.last_sweep = now;
+        self.locations.retain(|_, locations| {
+            locations.retain(|location| now.since(location.used_at) < PART_TTL);
+            !locations.is_empty()
         });
-        if self.places.len() > PARTS_LIMIT {
-            self.places.clear();
+        if self.locations.len() > MAX_PARTS {
+            self.locations.clear();
         }
     }
 }
--- a/crates/core/src/placement/replicas.rs
+++ b/crates/core/src/placement/replicas.rs
@@ -1,4 +1,4 @@
-//! Choosing a replica of a plain service.
+//! Selects a replica of a plain service.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,16 +12,16 @@
     routing::{EndpointHealth, RoutingSettings},
 };
 
-/// The weight of the newest answer in the average time of answers.
-const NEWEST_WEIGHT: f64 = 0.1;
+/// Weight of the newest response in the moving average of response times.
+const LATENCY_SMOOTHING: f64 = 0.1;
 
-/// What is assumed of a replica that has not answered yet, in ms.
-const FIRST_GUESS_MS: f64 = 20.0;
+/// Response time in ms assumed for a replica that has not answered yet.
+const INITIAL_LATENCY_MS: f64 = 20.0;
 
 #[derive(Clone, Debug)]
 struct ReplicaState {
     outstanding: u32,
-    average_ms: f64,
+    average_latency_ms: f64,
     health: EndpointHealth,
 }
 
@@ -29,84 +29,93 @@
     fn new() -> ReplicaState {
         ReplicaState {
             outstanding: 0,
-            average_ms: FIRST_GUESS_MS,
+            average_latency_ms: INITIAL_LATENCY_MS,
             health: EndpointHealth::new(),
         }
     }
 }
 
-/// A replica that was chosen.
+/// A selected replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaChoice {
-    /// The replica.
+    /// The replica's id.
     pub endpoint: EndpointId,
-    /// What this entry has outstanding there.
+    /// Requests of this entry in flight at the replica when it was selected.
     pub outstanding: u32,
-    /// Whether no sound one was left, so that an ejected one had to do.
+    /// Whether the replica is ejected or in an unreachable failure domain; such a
+    /// replica is selected only if no healthy one is left.
     pub is_ejected: bool,
 }
 
-/// What this entry knows of replicas of plain services.
+/// Load, response times and health of the replicas of plain services, as observed by
+/// this entry.
 #[derive(Clone, Debug)]
 pub struct ReplicaTable {
     settings: RoutingSettings,
     random: ChaCha8Rng,
-    books: BTreeMap<EndpointId, ReplicaState>,
-    silent_domains: BTreeSet<FailureDomain>,
+    replicas: BTreeMap<EndpointId, ReplicaState>,
+    unreachable_domains: BTreeSet<FailureDomain>,
 }
 
 impl ReplicaTable {
-    /// Nothing known.
+    /// Creates an empty table.
     pub fn new(settings: RoutingSettings) -> ReplicaTable {
         ReplicaTable {
             settings,
             random: ChaCha8Rng::seed_from_u64(0),
-            books: BTreeMap::new(),
-            silent_domains: BTreeSet::new(),
+            replicas: BTreeMap::new(),
+            unreachable_domains: BTreeSet::new(),
         }
     }
 
-    /// Draws ties from `seed`, so that entries don't all take the same replica.
+    /// Seeds the jitter of costs, so that entries don't all select the same replica.
     pub fn with_seed(mut self, seed: u64) -> ReplicaTable {
         self.random = ChaCha8Rng::seed_from_u64(seed);
         self
     }
 
-    /// Chooses among `open`, never one of `tried`. Ejected ones are taken only if
-    /// no other is left: a service with all replicas ejected still has to serve.
-    pub fn choose<'a, Open>(
+    /// Selects a replica from `candidates` that is not in `excluded`. Ejected replicas
+    /// are selected only if no other is left: a service with all replicas ejected still
+    /// has to serve.
+    pub fn choose<'a, Candidates>(
         &mut self,
         now: ClockTime,
-        open: Open,
-        tried: &[EndpointId],
+        candidates: Candidates,
+        excluded: &[EndpointId],
     ) -> Option<ReplicaChoice>
     where
-        Open: Iterator<Item = &'a EndpointRegistration>,
+        Candidates: Iterator<Item = &'a EndpointRegistration>,
     {
         let mut best: Option<(bool, f64, ReplicaChoice)> = None;
-        for registration in open.filter(|entry| !tried.contains(&entry.id)) {
-            let draw: f64 = self.random.random_range(0.9..1.1);
-            let book = self
-                .books
+        for registration in candidates.filter(|candidate| !excluded.contains(&candidate.id)) {
+            let jitter: f64 = self.random.random_range(0.9..1.1);
+            let state = self
+                .replicas
                 .entry(registration.id.clone())
                 .or_insert_with(ReplicaState::new);
-            let is_ejected =
-                book.health.is_ejected(now) || self.silent_domains.contains(&registration.domain);
-            let share = f64::from(book.health.share(now, &self.settings).max(1)) / 100.0;
-            let cold = if registration.warming == TimeSpan::ZERO {
+            let is_ejected = state.health.is_ejected(now)
+                || self.unreachable_domains.contains(&registration.domain);
+            let traffic_share = f64::from(state.health.share(now, &self.settings).max(1)) / 100.0;
+            let warming_factor = if registration.warming == TimeSpan::ZERO {
                 1.0
             } else {
                 1.5
             };
-            let cost = f64::from(book.outstanding + 1) * book.average_ms * cold * draw / share;
-            let better = match &best {
-                Some((ejected, least, _)) => (is_ejected, cost) < (*ejected, *least),
+            let cost = f64::from(state.outstanding + 1)
+                * state.average_latency_ms
+                * warming_factor
+                * jitter
+                / traffic_share;
+            let is_better = match &best {
+                Some((best_is_ejected, lowest_cost, _)) => {
+                    (is_ejected, cost) < (*best_is_ejected, *lowest_cost)
+                }
                 None => true,
             };
-            if better {
+            if is_better {
                 let choice = ReplicaChoice {
                     endpoint: registration.id.clone(),
-                    outstanding: book.outstanding,
+                    outstanding: state.outstanding,
                     is_ejected,
                 };
                 best = Some((is_ejected, cost, choice));
@@ -115,48 +124,49 @@
         best.map(|(_, _, choice)| choice)
     }
 
-    /// Failure domains that seem to be cut off from here; their replicas are taken
-    /// only if there are no others.
+    /// Sets the failure domains that seem unreachable from here; their replicas are
+    /// selected only if there are no others.
     pub fn set_unreachable_domains(&mut self, domains: BTreeSet<FailureDomain>) {
-        self.silent_domains = domains;
+        self.unreachable_domains = domains;
     }
 
-    /// A request was sent there.
+    /// Records that a request was sent to the replica.
     pub fn sent(&mut self, endpoint: &EndpointId) {
-        let book = self
-            .books
+        let state = self
+            .replicas
             .entry(endpoint.clone())
             .or_insert_with(ReplicaState::new);
-        book.outstanding += 1;
+        state.outstanding += 1;
     }
 
-    /// It was answered after `took`.
-    pub fn answered(&mut self, now: ClockTime, endpoint: &EndpointId, took: TimeSpan) {
-        let Some(book) = self.books.get_mut(endpoint) else {
+    /// Records that the replica answered a request after `latency`.
+    pub fn answered(&mut self, now: ClockTime, endpoint: &EndpointId, latency: TimeSpan) {
+        let Some(state) = self.replicas.get_mut(endpoint) else {
             return;
         };
-        book.outstanding = book.outstanding.saturating_sub(1);
-        let took = took.as_millis() as f64;
-        book.average_ms += NEWEST_WEIGHT * (took - book.average_ms);
-        book.health.succeed(now, &self.settings);
+        state.outstanding = state.outstanding.saturating_sub(1);
+        let latency_ms = latency.as_millis() as f64;
+        state.average_latency_ms += LATENCY_SMOOTHING * (latency_ms - state.average_latency_ms);
+        state.health.succeed(now, &self.settings);
     }
 
-    /// It failed, refused or fell silent. Answers the length of an ejection.
+    /// Records that a request failed, was refused or timed out. Returns the duration of
+    /// the ejection if the replica is ejected for it.
     pub fn failed(&mut self, now: ClockTime, endpoint: &EndpointId) -> Option<TimeSpan> {
-        let book = self.books.get_mut(endpoint)?;
-        book.outstanding = book.outstanding.saturating_sub(1);
-        book.health.fail(now, &self.settings, &mut self.random)
+        let state = self.replicas.get_mut(endpoint)?;
+        state.outstanding = state.outstanding.saturating_sub(1);
+        state.health.fail(now, &self.settings, &mut self.random)
     }
 
-    /// It was given up for a reason that says nothing about the replica.
+    /// Records that a request was abandoned for a reason unrelated to the replica.
     pub fn released(&mut self, endpoint: &EndpointId) {
-        if let Some(book) = self.books.get_mut(endpoint) {
-            book.outstanding = book.outstanding.saturating_sub(1);
+        if let Some(state) = self.replicas.get_mut(endpoint) {
+            state.outstanding = state.outstanding.saturating_sub(1);
         }
     }
 
-    /// The replica is gone.
+    /// Removes a replica that is no longer registered.
     pub fn forget(&mut self, endpoint: &EndpointId) {
-        self.books.remove(endpoint);
+        self.replicas.remove(endpoint);
     }
 }
--- a/crates/core/tests/placement_replicas.rs
+++ b/crates/core/tests/placement_replicas.rs
@@ -1,4 +1,4 @@
-//! Choosing replicas of plain services.
+//! Selection of replicas of plain services.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -38,22 +38,22 @@
         .to_vec()
 }
 
-fn books() -> ReplicaTable {
+fn table() -> ReplicaTable {
     ReplicaTable::new(RoutingSettings::default()).with_seed(3)
 }
 
-fn choose(books: &mut ReplicaTable, now: u64, tried: &[EndpointId]) -> Option<EndpointId> {
-    let choice = books.choose(at(now), replicas().iter(), tried)?;
+fn choose(table: &mut ReplicaTable, now: u64, excluded: &[EndpointId]) -> Option<EndpointId> {
+    let choice = table.choose(at(now), replicas().iter(), excluded)?;
     Some(choice.endpoint)
 }
 
 #[test]
-fn work_spreads_over_all_replicas() {
-    let mut books = books();
+fn requests_spread_over_all_replicas() {
+    let mut table = table();
     let mut counts: BTreeMap<EndpointId, u32> = BTreeMap::new();
     for _ in 0..30 {
-        let chosen = choose(&mut books, 0, &[]).unwrap();
-        books.sent(&chosen);
+        let chosen = choose(&mut table, 0, &[]).unwrap();
+        table.sent(&chosen);
         *counts.entry(chosen).or_default() += 1;
     }
     assert!(
@@ -63,80 +63,80 @@
 }
 
 #[test]
-fn a_replica_that_fails_again_and_again_is_left_alone() {
-    // A replica fails what it gets while its health check is good. Callers of every
-    // third request would see a failure for as long as that lasts.
-    let mut books = books();
+fn a_replica_with_repeated_failures_is_ejected() {
+    // A replica fails all its requests while its health check passes. Without ejection,
+    // every third request would fail for as long as that lasts.
+    let mut table = table();
     for _ in 0..3 {
-        books.sent(&id("one"));
-        books.failed(at(0), &id("one"));
+        table.sent(&id("one"));
+        table.failed(at(0), &id("one"));
     }
     for turn in 0..50 {
-        assert_ne!(choose(&mut books, 10 + turn, &[]), Some(id("one")));
+        assert_ne!(choose(&mut table, 10 + turn, &[]), Some(id("one")));
     }
 }
 
 #[test]
-fn with_all_replicas_ejected_one_of_them_serves() {
-    let mut books = books();
+fn one_replica_serves_when_all_are_ejected() {
+    let mut table = table();
     for name in ["one", "two", "three"] {
         for _ in 0..3 {
-            books.sent(&id(name));
-            books.failed(at(0), &id(name));
+            table.sent(&id(name));
+            table.failed(at(0), &id(name));
         }
     }
-    let choice = books.choose(at(1), replicas().iter(), &[]).unwrap();
+    let choice = table.choose(at(1), replicas().iter(), &[]).unwrap();
     assert!(choice.is_ejected);
 }
 
 #[test]
-fn a_replica_that_was_tried_is_not_tried_again() {
-    let mut books = books();
-    let tried = [id("one"), id("two")];
-    assert_eq!(choose(&mut books, 0, &tried), Some(id("three")));
+fn excluded_replicas_are_not_selected() {
+    let mut table = table();
+    let excluded = [id("one"), id("two")];
+    assert_eq!(choose(&mut table, 0, &excluded), Some(id("three")));
     assert_eq!(
-        choose(&mut books, 0, &[id("one"), id("two"), id("three")]),
+        choose(&mut table, 0, &[id("one"), id("two"), id("three")]),
         None
     );
 }
 
 #[test]
-fn a_slow_replica_gets_less() {
-    let mut books = books();
+fn a_slow_replica_gets_fewer_requests() {
+    let mut table = table();
     for turn in 0..60 {
-        for (name, took) in [("one", 200), ("two", 15), ("three", 15)] {
-            books.sent(&id(name));
-            books.answered(at(turn), &id(name), TimeSpan::from_millis(took));
+        for (name, latency_ms) in [("one", 200), ("two", 15), ("three", 15)] {
+            table.sent(&id(name));
+            table.answered(at(turn), &id(name), TimeSpan::from_millis(latency_ms));
         }
     }
-    let mut slow = 0;
+    let mut slow_count = 0;
     for _ in 0..24 {
-        let chosen = choose(&mut books, 100, &[]).unwrap();
-        slow += u32::from(chosen == id("one"));
-        books.sent(&chosen);
+        let chosen = choose(&mut table, 100, &[]).unwrap();
+        slow_count += u32::from(chosen == id("one"));
+        table.sent(&chosen);
     }
-    assert!(slow <= 3, "{slow}");
+    assert!(slow_count <= 3, "{slow_count}");
 }
 
 #[test]
-fn replicas_behind_a_cut_are_the_last_choice() {
-    let mut books = books();
-    let cut = ["a", "b"].map(|name| FailureDomain::new(name).unwrap());
-    books.set_unreachable_domains(BTreeSet::from(cut));
+fn replicas_in_unreachable_domains_are_selected_last() {
+    let mut table = table();
+    let unreachable = ["a", "b"].map(|name| FailureDomain::new(name).unwrap());
+    table.set_unreachable_domains(BTreeSet::from(unreachable));
     for _ in 0..10 {
-        assert_eq!(choose(&mut books, 0, &[]), Some(id("three")));
-        books.sent(&id("three"));
+        assert_eq!(choose(&mut table, 0, &[]), Some(id("three")));
+        table.sent(&id("three"));
     }
-    assert!(choose(&mut books, 0, &[id("three")]).is_some());
+    assert!(choose(&mut table, 0, &[id("three")]).is_some());
 }
 
 #[test]
-fn requests_that_were_given_up_don_t_stay_on_the_books() {
-    let mut books = books();
+fn abandoned_requests_do_not_count_as_outstanding() {
+    let mut table = table();
     for _ in 0..40 {
-        books.sent(&id("one"));
-        books.released(&id("one"));
+        table.sent(&id("one"));
+        table.released(&id("one"));
     }
-    let choice = books.choose(at(0), replicas().iter(), &[id("two"), id("three")]);
+    let choice = table.choose(at(0), replicas().iter(), &[id("two"), id("three")]);
     assert_eq!(choice.unwrap().outstanding, 0);
 }
