--- a/crates/core/src/admission/baselines.rs
+++ b/crates/core/src/admission/baselines.rs
@@ -1,4 +1,4 @@
-//! First come, first served, which the fair queue is measured against.
+//! First-in, first-out admission, the baseline to which the fair queue is compared.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,38 +8,39 @@
     routing::RoutePool,
 };
 
-/// One queue per pool in the order of arrival, without shares and deadlines.
+/// One FIFO queue per pool, without shares and deadlines.
 #[derive(Clone, Debug, Default)]
 pub struct FifoQueue {
     slots: BTreeMap<RoutePool, u32>,
     running: BTreeMap<RoutePool, u32>,
     queued: BTreeMap<RoutePool, VecDeque<RequestId>>,
-    known: BTreeMap<RequestId, RoutePool>,
+    request_pools: BTreeMap<RequestId, RoutePool>,
 }
 
 impl FifoQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> FifoQueue {
         FifoQueue::default()
     }
 
-    /// Sets how many requests run at once.
+    /// Sets how many requests of the pool run at once, and starts those that now can.
     pub fn set_slots(&mut self, pool: &RoutePool, slots: u32) -> Vec<AdmissionAction> {
         self.slots.insert(pool.clone(), slots);
         self.start_ready(pool)
     }
 
-    /// Takes a request.
-    pub fn offer(&mut self, ask: &AdmissionRequest) -> Vec<AdmissionAction> {
-        self.known.insert(ask.request.clone(), ask.pool.clone());
-        let queue = self.queued.entry(ask.pool.clone()).or_default();
-        queue.push_back(ask.request.clone());
-        self.start_ready(&ask.pool)
+    /// Queues a request, and starts it if a slot is free.
+    pub fn offer(&mut self, admission: &AdmissionRequest) -> Vec<AdmissionAction> {
+        self.request_pools
+            .insert(admission.request.clone(), admission.pool.clone());
+        let queue = self.queued.entry(admission.pool.clone()).or_default();
+        queue.push_back(admission.request.clone());
+        self.start_ready(&admission.pool)
     }
 
-    /// A request ended, or its caller left.
+    /// Removes a request that ended or was cancelled, and starts the next one.
     pub fn finish(&mut self, request: &RequestId) -> Vec<AdmissionAction> {
-        let Some(pool) = self.known.remove(request) else {
+        let Some(pool) = self.request_pools.remove(request) else {
             return Vec::new();
         };
         let queue = self.queued.entry(pool.clone()).or_default();
@@ -61,7 +62,7 @@
                 break;
             };
             *running += 1;
-            let reason = "first in the order of arrival".to_string();
+            let reason = "first in the FIFO queue".to_string();
             actions.push(AdmissionAction::Start { request, reason });
         }
         actions
--- a/crates/core/src/admission/counters.rs
+++ b/crates/core/src/admission/counters.rs
@@ -1,4 +1,5 @@
-//! Virtual token counters: how much each organisation was served, by weight.
+//! Virtual token counters: the service that each organisation received, divided by its
+//! weight.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +8,8 @@
     units::{ShareWeight, TokenCount},
 };
 
-/// Counter units for a token at weight 1, so that division by weights keeps
-/// enough digits.
+/// Counter units per token at weight 1, so that division by weights keeps enough
+/// precision.
 const UNITS_PER_TOKEN: u64 = 1_024;
 
 /// The counters of one pool.
@@ -19,15 +20,15 @@
 }
 
 impl FairCounters {
-    /// Everybody at zero.
+    /// Creates counters without any organisation; all start at zero.
     pub fn new() -> FairCounters {
         FairCounters::default()
     }
 
-    /// The counter that an organisation starts at when it comes back from
-    /// idleness. Without the floor, an organisation that slept all night would
-    /// shut out the others in the morning until it had caught up.
-    pub fn enter(&mut self, organisation: &OrganisationId) -> u64 {
+    /// Raises the counter of an organisation that becomes active to the floor, and
+    /// returns it. Without the floor, an organisation that was idle all night would
+    /// block the others in the morning until its counter had caught up.
+    pub fn activate(&mut self, organisation: &OrganisationId) -> u64 {
         let floor = self.floor;
         match self.counters.get_mut(organisation) {
             Some(counter) => {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The organisation's counter.
+    /// Returns the organisation's counter, in counter units.
     pub fn counter(&self, organisation: &OrganisationId) -> u64 {
         self.counters
             .get(organisation)
@@ -49,15 +50,15 @@
             .unwrap_or(self.floor)
     }
 
-    /// Raises the floor to the counter of an organisation that starts work.
-    pub fn start(&mut self, counter: u64) {
+    /// Raises the floor to the counter of an organisation whose request starts.
+    pub fn raise_floor(&mut self, counter: u64) {
         self.floor = self.floor.max(counter);
     }
 
-    /// Charges `cost`, and returns how many units were charged: at most up to
-    /// `limit` above the floor. While the pool is not contended the floor stands
-    /// still; without the limit, an organisation that alone used an idle pool
-    /// for an hour would be shut out for as long once others come.
+    /// Charges `cost`, up to `limit` above the floor, and returns the units charged.
+    /// The floor does not rise while the pool is not contended; without the limit, an
+    /// organisation that used an idle pool alone for an hour would be blocked for as
+    /// long once other organisations become active.
     pub fn charge(
         &mut self,
         organisation: &OrganisationId,
@@ -65,16 +66,16 @@
         weight: ShareWeight,
         limit: TokenCount,
     ) -> u64 {
-        let most = self.floor.saturating_add(units(limit, weight));
-        let counter = self.entry(organisation);
+        let max_counter = self.floor.saturating_add(units(limit, weight));
+        let counter = self.counter_mut(organisation);
         let before = *counter;
-        let charged = before.saturating_add(units(cost, weight));
-        *counter = charged.min(most.max(before));
+        let raised = before.saturating_add(units(cost, weight));
+        *counter = raised.min(max_counter.max(before));
         *counter - before
     }
 
-    /// Replaces `charged` units by the real `cost`. What an organisation gets
-    /// back may put it below the floor: it was served less than the others.
+    /// Replaces `charged` units by the actual `cost`. The refund may put an
+    /// organisation below the floor, as it was served less than the others.
     pub fn correct(
         &mut self,
         organisation: &OrganisationId,
@@ -83,61 +84,63 @@
         weight: ShareWeight,
         limit: TokenCount,
     ) {
-        let real = units(cost, weight);
-        if real <= charged {
-            let counter = self.entry(organisation);
-            *counter = counter.saturating_sub(charged - real);
+        let actual = units(cost, weight);
+        if actual <= charged {
+            let counter = self.counter_mut(organisation);
+            *counter = counter.saturating_sub(charged - actual);
             return;
         }
-        let most = self.floor.saturating_add(units(limit, weight));
-        let counter = self.entry(organisation);
-        *counter = (*counter + (real - charged)).min(most.max(*counter));
+        let max_counter = self.floor.saturating_add(units(limit, weight));
+        let counter = self.counter_mut(organisation);
+        *counter = (*counter + (actual - charged)).min(max_counter.max(*counter));
     }
 
-    /// The counter units of `cost` at weight 1.
+    /// Returns the counter units of `cost` at weight 1.
     pub fn units(cost: TokenCount) -> u64 {
         units(cost, ShareWeight::new(1))
     }
 
-    /// The floor, in counter units.
+    /// Returns the floor, in counter units.
     pub fn floor(&self) -> u64 {
         self.floor
     }
 
-    /// How far the organisation is ahead of the floor, in counter units.
-    pub fn ahead(&self, organisation: &OrganisationId) -> u64 {
+    /// Returns how far the organisation's counter is above the floor, in counter units.
+    pub fn units_above_floor(&self, organisation: &OrganisationId) -> u64 {
         self.counter(organisation).saturating_sub(self.floor)
     }
 
-    /// How far the organisation is ahead of the floor, as cost at its weight.
+    /// Returns how far the organisation's counter is above the floor, as cost at its
+    /// weight.
     pub fn debt(&self, organisation: &OrganisationId, weight: ShareWeight) -> TokenCount {
-        let ahead = self.counter(organisation).saturating_sub(self.floor);
-        TokenCount::new(ahead.saturating_mul(weight.count().max(1)) / UNITS_PER_TOKEN)
+        let above_floor = self.counter(organisation).saturating_sub(self.floor);
+        TokenCount::new(above_floor.saturating_mul(weight.count().max(1)) / UNITS_PER_TOKEN)
     }
 
-    /// Forgets organisations that the floor has passed, as they would start at
-    /// the floor anyway, but for those that `keep` names. If more than `limit`
-    /// are left, the floor rises until half of the limit are: the smallest
-    /// debts are forgiven.
-    pub fn sweep<Keep>(&mut self, limit: usize, keep: Keep)
+    /// Removes the counters that are not above the floor, as their organisations would
+    /// start at the floor anyway, except those for which `keep` returns true. If more
+    /// than `limit` are left, the floor rises until half of the limit are: the smallest
+    /// debts are cancelled.
+    pub fn prune<Keep>(&mut self, limit: usize, keep: Keep)
     where
         Keep: Fn(&OrganisationId) -> bool,
     {
-        self.forget_passed(&keep);
+        self.remove_up_to_floor(&keep);
         if self.counters.len() <= limit {
             return;
         }
-        let idle = |item: &(&OrganisationId, &u64)| !keep(item.0);
-        let mut ahead: Vec<u64> = self.counters.iter().filter(idle).map(|i| *i.1).collect();
-        ahead.sort_unstable();
-        let passed = ahead.len().saturating_sub(limit / 2);
-        if let Some(last) = passed.checked_sub(1) {
-            self.floor = self.floor.max(ahead[last]);
+        let is_idle = |item: &(&OrganisationId, &u64)| !keep(item.0);
+        let mut idle_counters: Vec<u64> =
+            self.counters.iter().filter(is_idle).map(|i| *i.1).collect();
+        idle_counters.sort_unstable();
+        let surplus = idle_counters.len().saturating_sub(limit / 2);
+        if let Some(last) = surplus.checked_sub(1) {
+            self.floor = self.floor.max(idle_counters[last]);
         }
-        self.forget_passed(&keep);
+        self.remove_up_to_floor(&keep);
     }
 
-    fn forget_passed<Keep>(&mut self, keep: &Keep)
+    fn remove_up_to_floor<Keep>(&mut self, keep: &Keep)
     where
         Keep: Fn(&OrganisationId) -> bool,
     {
@@ -146,24 +149,24 @@
             .retain(|organisation, counter| *counter > floor || keep(organisation));
     }
 
-    /// How many organisations are remembered.
+    /// Number of organisations with a counter.
     pub fn len(&self) -> usize {
         self.counters.len()
     }
 
-    /// Whether no organisation is remembered.
+    /// Whether no organisation has a counter.
     pub fn is_empty(&self) -> bool {
         self.counters.is_empty()
     }
 
-    fn entry(&mut self, organisation: &OrganisationId) -> &mut u64 {
+    fn counter_mut(&mut self, organisation: &OrganisationId) -> &mut u64 {
         let floor = self.floor;
         if !self.counters.contains_key(organisation) {
             self.counters.insert(organisation.clone(), floor);
         }
         self.counters
             .get_mut(organisation)
-            .expect("it was just inserted")
+            .expect("the counter was inserted above")
     }
 }
 
--- a/crates/core/src/admission/messages.rs
+++ b/crates/core/src/admission/messages.rs
@@ -1,4 +1,4 @@
-//! What the admission slice is told and what it answers.
+//! Inputs and outputs of admission control, and its settings.
 
 use std::fmt;
 
@@ -12,34 +12,35 @@
     units::{ShareWeight, TokenCount, TokenRate},
 };
 
-/// How much an output token costs against a prompt token: decoding occupies an
-/// engine longer for each token than prefilling does.
+/// Cost of an output token in prompt-token equivalents: decoding occupies an engine
+/// longer per token than prefilling does.
 pub const OUTPUT_TOKEN_COST: u64 = 2;
 
-/// The cost of a request in prompt-token equivalents.
+/// Returns the cost of a request in prompt-token equivalents.
 pub fn token_cost(prompt: TokenCount, output: TokenCount) -> TokenCount {
     TokenCount::new(prompt.count() + OUTPUT_TOKEN_COST * output.count())
 }
 
-/// How an entry admits work.
+/// Settings of an entry's admission control.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdmissionSettings {
-    /// Percent of a pool's slots that deferrable work never takes, so that
-    /// interactive work finds a free one.
+    /// Percentage of a pool's slots that deferrable work never takes, so that a slot is
+    /// free for interactive work.
     pub interactive_reserve: u32,
-    /// By how much cost an organisation must be behind before its deferrable work
-    /// goes before others' interactive work.
+    /// The cost by which an organisation's counter must be behind before its deferrable
+    /// work starts before other organisations' interactive work.
     pub deferrable_handicap: TokenCount,
-    /// The most cost by which work at other entries puts an organisation behind.
+    /// Maximum cost above the floor to which charges, those of other entries included,
+    /// raise an organisation's counter.
     pub debt_limit: TokenCount,
-    /// How soon after its start a request should have its first token.
+    /// Target time from a request's start to its first token.
     pub start_target: TimeSpan,
-    /// The least `Retry-After`.
+    /// Minimum `Retry-After`.
     pub least_retry_after: TimeSpan,
-    /// The greatest `Retry-After`.
+    /// Maximum `Retry-After`.
     pub most_retry_after: TimeSpan,
-    /// The limits of an organisation for which none were set.
+    /// The limits of organisations without limits of their own.
     pub default_limits: OrganisationLimits,
 }
 
@@ -57,13 +58,13 @@
     }
 }
 
-/// What one organisation may have.
+/// The weight and the limits of one organisation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationLimits {
-    /// Its share against the others'.
+    /// Weight of its share relative to the other organisations.
     pub weight: ShareWeight,
-    /// The most requests in progress at this entry, queued and running.
+    /// Maximum number of requests in progress at this entry, queued and running.
     pub max_in_flight: u32,
 }
 
@@ -76,97 +77,100 @@
     }
 }
 
-/// This entry's part of a pool of endpoints.
+/// This entry's share of a pool of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolCapacity {
-    /// The most requests that this entry runs there at once.
+    /// Maximum number of requests that this entry runs in the pool at once.
     pub slots: u32,
-    /// The cost that those slots work off in a second. Only a start value: it is
-    /// measured as soon as there is a queue.
+    /// Cost that those slots process per second. Only an initial value: the rate is
+    /// measured as soon as requests are queued.
     pub token_rate: TokenRate,
-    /// The time from a start to the first token or, for plain services, to the
-    /// answer. Only a start value, too, where first tokens are noted.
+    /// Time from a start to the first token or, for plain services, to the answer. Also
+    /// only an initial value where first tokens are recorded.
     pub first_token: TimeSpan,
 }
 
 impl PoolCapacity {
-    /// The slots of one of `entries` entries in a pool of `total` slots, where
-    /// this entry runs `own` and the others `peers` requests. Every entry may
-    /// always use an equal part, and takes an equal part of what is free beyond
-    /// it, so that a busy entry isn't bound by idle ones and entries that see
-    /// the same free slots don't all take all of them.
-    pub fn shared_slots(total: u32, entries: u32, own: u32, peers: u32) -> u32 {
+    /// Returns the slots of one of `entries` entries in a pool of `total` slots, where
+    /// this entry runs `local_running` requests and the others run `peer_running`. Each
+    /// entry may always use an equal share of the slots, and takes an equal share of
+    /// the free slots beyond it, so that idle entries don't limit a busy one and
+    /// entries that see the same free slots don't all take all of them.
+    pub fn shared_slots(total: u32, entries: u32, local_running: u32, peer_running: u32) -> u32 {
         let entries = entries.max(1);
-        let free = total.saturating_sub(own + peers);
-        total.div_ceil(entries).max(own + free.div_ceil(entries))
+        let free = total.saturating_sub(local_running + peer_running);
+        total
+            .div_ceil(entries)
+            .max(local_running + free.div_ceil(entries))
     }
 }
 
-/// Work that asks to start.
+/// A request for admission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdmissionRequest {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Whose it is.
+    /// The organisation that sent it.
     pub organisation: OrganisationId,
     /// The endpoints that can run it.
     pub pool: RoutePool,
-    /// Whether somebody waits.
+    /// Whether a caller is waiting for the answer (interactive) or the request is
+    /// deferrable.
     pub priority: WorkPriority,
-    /// When the first token or the answer must be there.
+    /// Deadline of the first token or, for plain services, of the answer.
     pub deadline: ClockTime,
-    /// The prompt's length; 1 for a call of a plain service.
+    /// Size of the prompt; 1 for a call of a plain service.
     pub prompt_tokens: TokenCount,
-    /// The most output; 0 for a call of a plain service.
+    /// Maximum output; 0 for a call of a plain service.
     pub max_output: TokenCount,
 }
 
-/// What the entry has to do.
+/// What the entry must do next with a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "action", rename_all = "snake_case")]
 pub enum AdmissionAction {
-    /// Send it to an endpoint now.
+    /// Send the request to an endpoint now.
     Start {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// Why now, for the journal.
+        /// Why it starts now, for the journal.
         reason: String,
     },
-    /// Tell the caller that it was not run.
+    /// Answer the caller that the request was not run.
     Refuse {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// Why.
+        /// Why it is refused.
         reason: RefuseReason,
-        /// When asking again makes sense.
+        /// Time after which a retry makes sense.
         retry_after: TimeSpan,
     },
 }
 
-/// Why work is refused. None of it was run.
+/// The reason why a request is refused. A refused request was not run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "reason", rename_all = "snake_case")]
 pub enum RefuseReason {
-    /// It would start too late.
+    /// The request would start too late to meet its deadline.
     DeadlineUnreachable {
-        /// The estimated wait for a start.
+        /// The estimated wait until a start.
         wait: TimeSpan,
-        /// The longest wait that the deadline leaves.
+        /// The longest wait with which the deadline can be met.
         allowed: TimeSpan,
     },
-    /// The organisation has too many requests in progress at this entry.
+    /// The organisation has reached its limit of requests in progress at this entry.
     InFlightLimit {
         /// The limit.
         limit: u32,
     },
-    /// No endpoint of the pool serves.
+    /// No endpoint of the pool accepts requests.
     NoCapacity,
 }
 
 impl RefuseReason {
-    /// A word for metrics and log lines.
+    /// The value used in metrics and log lines.
     pub fn label(&self) -> &'static str {
         match self {
             RefuseReason::DeadlineUnreachable { .. } => "deadline_unreachable",
@@ -181,18 +185,18 @@
         match self {
             RefuseReason::DeadlineUnreachable { wait, allowed } => write!(
                 f,
-                "the deadline can't be met: a start would take {wait}, the deadline leaves {allowed}"
+                "the deadline can't be met: the estimated wait is {wait}, the deadline allows {allowed}"
             ),
             RefuseReason::InFlightLimit { limit } => write!(
                 f,
-                "the organisation has {limit} requests in progress at this entry, its limit"
+                "the organisation has reached its limit of {limit} requests in progress at this entry"
             ),
-            RefuseReason::NoCapacity => f.write_str("no endpoint serves this work now"),
+            RefuseReason::NoCapacity => f.write_str("no endpoint of the pool accepts requests now"),
         }
     }
 }
 
-/// What one entry served of one organisation since its last report.
+/// The cost that one entry served for one organisation since its last report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerShare {
@@ -200,39 +204,40 @@
     pub pool: RoutePool,
     /// The organisation.
     pub organisation: OrganisationId,
-    /// The cost served.
+    /// The cost served, in prompt-token equivalents.
     pub served: TokenCount,
 }
 
-/// What one entry tells its peers.
+/// The report of served costs that an entry sends to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShareReport {
-    /// When it was made, on the sender's clock. Only compared with other reports
-    /// of the same sender: one that is not newer than the last is a repeat.
+    /// When the report was made, by the sender's clock. It is compared only with other
+    /// reports of the same sender: a report that is not newer than the last one is a
+    /// duplicate.
     pub made_at: ClockTime,
-    /// What was served, the largest first.
+    /// The costs served, the largest first.
     pub shares: Vec<PeerShare>,
 }
 
-/// A pool's state, for dumps and metrics.
+/// State of a pool, for dumps and metrics.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolStatus {
     /// The pool.
     pub pool: RoutePool,
-    /// Its slots here.
+    /// This entry's slots in the pool.
     pub slots: u32,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Started requests that may be without a first token.
+    /// Maximum number of started requests without a first token.
     pub window: u64,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub queued: usize,
-    /// Organisations that wait.
+    /// Number of organisations with queued requests.
     pub waiting_organisations: usize,
-    /// The cost worked off in a second, as measured.
+    /// Measured cost processed per second.
     pub token_rate: TokenRate,
-    /// The estimated wait of a new interactive request of an organisation that
-    /// has none in progress.
+    /// The estimated wait of a new interactive request of an organisation with no
+    /// requests in progress.
     pub wait: TimeSpan,
 }
--- a/crates/core/src/admission/pool.rs
+++ b/crates/core/src/admission/pool.rs
@@ -1,4 +1,4 @@
-//! The queue of one pool: which organisation's request starts next.
+//! The queue of one pool, which determines the organisation whose request starts next.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,10 +12,11 @@
     units::{ShareWeight, TokenCount},
 };
 
-/// A place in an organisation's queue: the earliest deadline first.
-pub(super) type QueuePlace = (ClockTime, u64);
+/// Position in an organisation's queue: the earliest deadline first, then the order of
+/// arrival.
+pub(super) type QueuePosition = (ClockTime, u64);
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedWork {
     pub request: RequestId,
@@ -26,20 +27,20 @@
 #[derive(Clone, Debug, Default)]
 struct OrganisationQueue {
     weight: ShareWeight,
-    interactive: BTreeMap<QueuePlace, QueuedWork>,
-    deferrable: BTreeMap<QueuePlace, QueuedWork>,
+    interactive: BTreeMap<QueuePosition, QueuedWork>,
+    deferrable: BTreeMap<QueuePosition, QueuedWork>,
     queued_cost: u64,
 }
 
 impl OrganisationQueue {
-    fn class(&self, priority: WorkPriority) -> &BTreeMap<QueuePlace, QueuedWork> {
+    fn class(&self, priority: WorkPriority) -> &BTreeMap<QueuePosition, QueuedWork> {
         match priority {
             WorkPriority::Interactive => &self.interactive,
             WorkPriority::Deferrable => &self.deferrable,
         }
     }
 
-    fn class_mut(&mut self, priority: WorkPriority) -> &mut BTreeMap<QueuePlace, QueuedWork> {
+    fn class_mut(&mut self, priority: WorkPriority) -> &mut BTreeMap<QueuePosition, QueuedWork> {
         match priority {
             WorkPriority::Interactive => &mut self.interactive,
             WorkPriority::Deferrable => &mut self.deferrable,
@@ -51,18 +52,18 @@
     }
 }
 
-/// Work that the pool lets start.
+/// A request that was taken from the queue to be started.
 #[derive(Clone, Debug)]
 pub(super) struct StartedWork {
     pub organisation: OrganisationId,
     pub work: QueuedWork,
-    /// The counter units that it was charged.
+    /// Counter units charged for the request.
     pub charged: u64,
-    /// By how much cost the organisation was ahead of the floor.
+    /// The cost by which the organisation's counter was above the floor.
     pub debt: TokenCount,
 }
 
-/// The queue and the running count of one pool.
+/// The queue and the number of running requests of one pool.
 #[derive(Clone, Debug)]
 pub(super) struct PoolQueue {
     pub capacity: PoolCapacity,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Takes a new capacity; the measured rate is scaled with the slots.
+    /// Sets the pool's capacity and scales the measured rate with the slots.
     pub fn set_capacity(&mut self, capacity: PoolCapacity) {
         let (old, new) = (self.capacity.slots, capacity.slots);
         self.meter.rescale(old, new, capacity.token_rate.count());
@@ -120,9 +121,10 @@
         self.meter.rate()
     }
 
-    /// The estimated time until work of `organisation` that has `ahead` of its
-    /// own cost before it starts: its share of the rate works off what is ahead
-    /// and what it owes, and never later than the whole queue is worked off.
+    /// Returns the estimated time until a request of `organisation` starts that has
+    /// requests of cost `ahead` of the same organisation before it. The organisation's
+    /// share of the rate processes that cost and the organisation's debt; the wait is
+    /// never longer than the time that the whole queue takes.
     pub fn wait(
         &self,
         organisation: &OrganisationId,
@@ -130,51 +132,56 @@
         priority: WorkPriority,
         ahead: u64,
     ) -> TimeSpan {
-        let starts = self.running < self.capacity.slots && self.window.admits(priority);
-        if starts && self.queued == 0 {
+        let can_start = self.running < self.capacity.slots && self.window.admits(priority);
+        if can_start && self.queued == 0 {
             return TimeSpan::ZERO;
         }
-        let weight_count = weight.count().max(1);
-        let others = match self.queues.contains_key(organisation) {
+        let own_weight = weight.count().max(1);
+        let total_weight = match self.queues.contains_key(organisation) {
             true => self.waiting_weight,
-            false => self.waiting_weight + weight_count,
+            false => self.waiting_weight + own_weight,
         };
-        let by_share = ahead.saturating_mul(others) / weight_count;
-        // What it owes is worked off as the floor rises, and the floor rises with
-        // what all entries serve, not this one alone.
-        let owed_time = match self.meter.floor_rate() {
+        let share_cost = ahead.saturating_mul(total_weight) / own_weight;
+        // The debt shrinks as the floor rises, and the floor rises with the cost that
+        // all entries serve, not this one alone.
+        let debt_ms = match self.meter.floor_rate() {
             0 => {
-                let owed = self.counters.debt(organisation, weight).count();
-                owed.saturating_mul(others) * 1_000 / weight_count / self.rate()
+                let debt = self.counters.debt(organisation, weight).count();
+                debt.saturating_mul(total_weight) * 1_000 / own_weight / self.rate()
+            }
+            rate => {
+                self.counters
+                    .units_above_floor(organisation)
+                    .saturating_mul(1_000)
+                    / rate
             }
-            rate => self.counters.ahead(organisation).saturating_mul(1_000) / rate,
         };
         let queue_cost = match priority {
             WorkPriority::Interactive => self.interactive_cost,
             WorkPriority::Deferrable => self.interactive_cost + self.deferrable_cost,
         };
-        let before = match priority {
-            WorkPriority::Interactive => by_share.min(queue_cost),
-            WorkPriority::Deferrable => (by_share + self.interactive_cost).min(queue_cost),
+        let cost_before = match priority {
+            WorkPriority::Interactive => share_cost.min(queue_cost),
+            WorkPriority::Deferrable => (share_cost + self.interactive_cost).min(queue_cost),
         };
-        let whole = queue_cost.saturating_mul(1_000) / self.rate();
-        let wait = before.saturating_mul(1_000) / self.rate() + owed_time;
-        TimeSpan::from_millis(wait.min(whole))
+        let full_queue_ms = queue_cost.saturating_mul(1_000) / self.rate();
+        let wait_ms = cost_before.saturating_mul(1_000) / self.rate() + debt_ms;
+        TimeSpan::from_millis(wait_ms.min(full_queue_ms))
     }
 
-    /// What `organisation` has queued that would start before a new request.
-    pub fn own_ahead(
+    /// Returns the queued cost of `organisation` that would start before a new request.
+    pub fn cost_ahead(
         &self,
         organisation: &OrganisationId,
         priority: WorkPriority,
-        place: QueuePlace,
+        position: QueuePosition,
     ) -> u64 {
         let Some(queue) = self.queues.get(organisation) else {
             return 0;
         };
         let class = queue.class(priority);
         class
-            .range(..place)
+            .range(..position)
             .map(|(_, work)| work.cost.count())
             .sum()
     }
@@ -184,11 +191,11 @@
         organisation: &OrganisationId,
         weight: ShareWeight,
         priority: WorkPriority,
-        place: QueuePlace,
+        position: QueuePosition,
         work: QueuedWork,
     ) {
         if !self.queues.contains_key(organisation) {
-            self.counters.enter(organisation);
+            self.counters.activate(organisation);
             self.waiting_weight += weight.count().max(1);
             let queue = OrganisationQueue {
                 weight,
@@ -201,24 +208,24 @@
         let queue = self
             .queues
             .get_mut(organisation)
-            .expect("it was just inserted");
+            .expect("the organisation's queue was inserted above");
         queue.queued_cost += cost;
-        queue.class_mut(priority).insert(place, work);
+        queue.class_mut(priority).insert(position, work);
         self.queued += 1;
         *self.class_cost(priority) += cost;
         self.order(priority).insert((counter, organisation.clone()));
     }
 
-    /// Takes a request out of the queue, to start, refuse or cancel it.
+    /// Removes a request from the queue, to start, refuse or cancel it.
     pub fn remove(
         &mut self,
         organisation: &OrganisationId,
         priority: WorkPriority,
-        place: QueuePlace,
+        position: QueuePosition,
     ) -> Option<QueuedWork> {
         let counter = self.counters.counter(organisation);
         let queue = self.queues.get_mut(organisation)?;
-        let work = queue.class_mut(priority).remove(&place)?;
+        let work = queue.class_mut(priority).remove(&position)?;
         let cost = work.cost.count();
         queue.queued_cost -= cost;
         let class_is_empty = queue.class(priority).is_empty();
@@ -237,10 +244,10 @@
         Some(work)
     }
 
-    /// The next request that may start: of the organisation that was served
-    /// least, interactive before deferrable. Deferrable work goes first only
-    /// where its organisation is behind by the handicap, or another's flood of
-    /// interactive work would keep it out for good.
+    /// Takes the next request that may start: one of the organisation that was served
+    /// least, interactive before deferrable. Deferrable work starts first only if its
+    /// organisation is behind by the handicap, as a flood of interactive work of
+    /// another organisation would otherwise keep it waiting for good.
     pub fn pop(&mut self, settings: &AdmissionSettings) -> Option<StartedWork> {
         let slots = u64::from(self.capacity.slots);
         let running = u64::from(self.running);
@@ -252,18 +259,18 @@
         if running >= (slots - reserved).max(1) {
             return self.pop_class(WorkPriority::Interactive, limit);
         }
-        let first = match self.is_behind(settings.deferrable_handicap) {
+        let priorities = match self.deferrable_is_behind(settings.deferrable_handicap) {
             true => [WorkPriority::Deferrable, WorkPriority::Interactive],
             false => [WorkPriority::Interactive, WorkPriority::Deferrable],
         };
-        first
+        priorities
             .into_iter()
             .find_map(|priority| self.pop_class(priority, limit))
     }
 
-    /// Whether the organisation that is first among the deferrable is behind the
-    /// first among the interactive by `handicap`.
-    fn is_behind(&self, handicap: TokenCount) -> bool {
+    /// Whether the first organisation with deferrable work is behind the first one with
+    /// interactive work by `handicap`.
+    fn deferrable_is_behind(&self, handicap: TokenCount) -> bool {
         let (Some(interactive), Some(deferrable)) = (
             self.interactive_order.first(),
             self.deferrable_order.first(),
@@ -280,13 +287,13 @@
         let (counter, organisation) = self.order(priority).first()?.clone();
         let queue = self.queues.get(&organisation)?;
         let weight = queue.weight;
-        let place = *queue.class(priority).first_key_value()?.0;
+        let position = *queue.class(priority).first_key_value()?.0;
         let debt = self.counters.debt(&organisation, weight);
-        let work = self.remove(&organisation, priority, place)?;
-        self.counters.start(counter);
+        let work = self.remove(&organisation, priority, position)?;
+        self.counters.raise_floor(counter);
         self.running += 1;
-        self.window.start(priority);
-        let charged = self.recount(&organisation, |counters| {
+        self.window.record_start(priority);
+        let charged = self.update_counter(&organisation, |counters| {
             counters.charge(&organisation, work.cost, weight, limit.max(work.cost))
         });
         Some(StartedWork {
@@ -297,56 +304,62 @@
         })
     }
 
-    /// Changes an organisation's counter and puts it in its new place.
-    pub fn recount<Change, Answer>(
+    /// Changes an organisation's counter and updates its place in the orders.
+    pub fn update_counter<Change, Output>(
         &mut self,
         organisation: &OrganisationId,
         change: Change,
-    ) -> Answer
+    ) -> Output
     where
-        Change: FnOnce(&mut FairCounters) -> Answer,
+        Change: FnOnce(&mut FairCounters) -> Output,
     {
         let before = (self.counters.counter(organisation), organisation.clone());
-        let answer = change(&mut self.counters);
+        let result = change(&mut self.counters);
         let after = (self.counters.counter(organisation), organisation.clone());
         for order in [&mut self.interactive_order, &mut self.deferrable_order] {
             if order.remove(&before) {
                 order.insert(after.clone());
             }
         }
-        answer
+        result
     }
 
-    /// A started request got its first token, or ended without one.
-    pub fn answered(
+    /// Records that a started request produced its first token after `elapsed`, or
+    /// ended without one.
+    pub fn record_first_token(
         &mut self,
         now: ClockTime,
         priority: WorkPriority,
-        took: Option<TimeSpan>,
+        elapsed: Option<TimeSpan>,
         target: TimeSpan,
     ) {
         let slots = self.capacity.slots;
-        self.window.answer(now, priority, took, target, slots);
+        self.window
+            .record_first_token(now, priority, elapsed, target, slots);
     }
 
-    /// Counts finished work for the measured rate.
+    /// Records a finished request and its cost for the measured rate.
     pub fn finish(&mut self, now: ClockTime, cost: TokenCount) {
         self.running = self.running.saturating_sub(1);
         self.meter.finish(cost.count());
         self.measure(now);
     }
 
-    /// Lets the meter end its measurement when the time for it has come.
+    /// Completes the rate measurement if its period is over.
     pub fn measure(&mut self, now: ClockTime) {
         let floor = self.counters.floor();
         self.meter.measure(now, self.queued > 0, floor);
     }
 
-    /// The requests that would now start too late, with their estimated waits,
-    /// given the latest time at which each may start.
-    pub fn late<Latest>(&self, now: ClockTime, latest: Latest) -> Vec<(RequestId, TimeSpan)>
+    /// Returns the queued requests that would start too late, with their estimated
+    /// waits. `latest_start` gives the latest time at which a request may start.
+    pub fn late_requests<LatestStart>(
+        &self,
+        now: ClockTime,
+        latest_start: LatestStart,
+    ) -> Vec<(RequestId, TimeSpan)>
     where
-        Latest: Fn(&RequestId) -> Option<ClockTime>,
+        LatestStart: Fn(&RequestId) -> Option<ClockTime>,
     {
         let mut late = Vec::new();
         for (organisation, queue) in &self.queues {
@@ -354,8 +367,8 @@
                 let mut ahead = 0;
                 for work in queue.class(priority).values() {
                     let wait = self.wait(organisation, queue.weight, priority, ahead);
-                    match latest(&work.request) {
-                        Some(latest) if now + wait > latest => {
+                    match latest_start(&work.request) {
+                        Some(latest_start) if now + wait > latest_start => {
                             late.push((work.request.clone(), wait));
                         }
                         _ => ahead += work.cost.count(),
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -1,5 +1,5 @@
-//! The admission queue of one entry: its pools, its organisations' limits and
-//! what it served of each.
+//! The admission queue of one entry: its pools, the limits of organisations, and the
+//! cost served for each of them.
 
 mod refusals;
 mod shares;
@@ -13,7 +13,7 @@
     admission::{
         AdmissionAction, AdmissionRequest, AdmissionSettings, OrganisationLimits, PoolCapacity,
         PoolStatus,
-        pool::{PoolQueue, QueuePlace, QueuedWork},
+        pool::{PoolQueue, QueuePosition, QueuedWork},
         token_cost,
     },
     clock::{ClockTime, TimeSpan},
@@ -23,31 +23,34 @@
     units::{ShareWeight, TokenCount, TokenRate},
 };
 
-/// How often queued work is compared with its deadlines.
-const REVIEW_PERIOD: TimeSpan = TimeSpan::from_millis(250);
-/// The share of the allowed output that is expected at first, in thousandths.
-const FIRST_OUTPUT_SHARE: u64 = 500;
-/// How much a new answer's length counts for the expected output, in thousandths.
-const OUTPUT_SHARE_GAIN: u64 = 20;
-/// How many organisations may be remembered before idle ones are forgotten.
-const SWEEP_SIZE: usize = 1_024;
+/// How often queued requests are checked against their deadlines.
+const DEADLINE_CHECK_INTERVAL: TimeSpan = TimeSpan::from_millis(250);
+/// The share of the maximum output that is expected until outputs have been measured,
+/// in thousandths.
+const INITIAL_OUTPUT_SHARE: u64 = 500;
+/// Weight of a new answer's length in the moving average of the output share, in
+/// thousandths.
+const OUTPUT_SHARE_WEIGHT: u64 = 20;
+/// Number of counters, beyond two per active organisation, above which those of idle
+/// organisations are removed.
+const PRUNE_THRESHOLD: usize = 1_024;
 
 type ShareKey = (RoutePool, OrganisationId);
 
 #[derive(Clone, Debug)]
-struct KnownRequest {
-    ask: AdmissionRequest,
+struct TrackedRequest {
+    admission: AdmissionRequest,
     cost: TokenCount,
     latest_start: ClockTime,
-    /// Its place in the queue; none once it runs.
-    place: Option<QueuePlace>,
-    /// The counter units that it was charged at its start.
+    /// Position in the queue; none once the request runs.
+    position: Option<QueuePosition>,
+    /// Counter units charged at its start.
     charged: u64,
-    /// When it started, until its first token came.
-    unanswered_since: Option<ClockTime>,
+    /// When the request started, until its first token arrives.
+    first_token_pending_since: Option<ClockTime>,
 }
 
-/// Decides who starts at one entry, and whom it refuses.
+/// Decides which requests an entry starts, and which it refuses.
 #[derive(Clone, Debug)]
 pub struct AdmissionQueue {
     settings: AdmissionSettings,
@@ -55,17 +58,17 @@
     limits: BTreeMap<OrganisationId, OrganisationLimits>,
     in_flight: BTreeMap<OrganisationId, u32>,
     pools: BTreeMap<RoutePool, PoolQueue>,
-    output_share: BTreeMap<RoutePool, u64>,
-    requests: BTreeMap<RequestId, KnownRequest>,
+    output_shares: BTreeMap<RoutePool, u64>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
     deadlines: BTreeSet<(ClockTime, RequestId)>,
-    unsent: BTreeMap<ShareKey, u64>,
-    peers: BTreeMap<InstanceId, ClockTime>,
-    next_place: u64,
-    reviewed_at: Option<ClockTime>,
+    unsent_costs: BTreeMap<ShareKey, u64>,
+    last_peer_reports: BTreeMap<InstanceId, ClockTime>,
+    next_sequence: u64,
+    last_deadline_check: Option<ClockTime>,
 }
 
 impl AdmissionQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(settings: AdmissionSettings) -> AdmissionQueue {
         AdmissionQueue {
             settings,
@@ -73,34 +76,35 @@
             limits: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             pools: BTreeMap::new(),
-            output_share: BTreeMap::new(),
+            output_shares: BTreeMap::new(),
             requests: BTreeMap::new(),
             deadlines: BTreeSet::new(),
-            unsent: BTreeMap::new(),
-            peers: BTreeMap::new(),
-            next_place: 0,
-            reviewed_at: None,
+            unsent_costs: BTreeMap::new(),
+            last_peer_reports: BTreeMap::new(),
+            next_sequence: 0,
+            last_deadline_check: None,
         }
     }
 
-    /// Draws the jitter of `Retry-After` from `seed`.
+    /// Seeds the jitter of `Retry-After`.
     pub fn with_seed(mut self, seed: u64) -> AdmissionQueue {
         self.random = ChaCha8Rng::seed_from_u64(seed);
         self
     }
 
-    /// Sets what an organisation may have. Work that already waits keeps the
-    /// weight that it came with.
+    /// Sets the limits of an organisation. Requests that are queued already keep their
+    /// weight.
     pub fn set_limits(&mut self, organisation: OrganisationId, limits: OrganisationLimits) {
         self.limits.insert(organisation, limits);
     }
 
-    /// Forgets an organisation's limits; the default ones hold again.
+    /// Removes the limits of an organisation; the default limits apply again.
     pub fn remove_limits(&mut self, organisation: &OrganisationId) {
         self.limits.remove(organisation);
     }
 
-    /// Sets this entry's part of a pool, and starts or refuses what follows.
+    /// Sets this entry's share of a pool, and returns the starts and refusals that
+    /// follow.
     pub fn set_capacity(
         &mut self,
         now: ClockTime,
@@ -115,46 +119,51 @@
                 self.pools.insert(pool.clone(), queue);
             }
         }
-        self.reviewed_at = None;
+        self.last_deadline_check = None;
         self.advance(now)
     }
 
-    /// Takes a request: it starts, is queued or is refused. A second request
-    /// with an id that is in progress is the caller's fault and is ignored.
-    pub fn offer(&mut self, now: ClockTime, ask: AdmissionRequest) -> Vec<AdmissionAction> {
+    /// Starts, queues or refuses a request. A second request with an id that is in
+    /// progress is an error of the caller and is ignored.
+    pub fn offer(&mut self, now: ClockTime, admission: AdmissionRequest) -> Vec<AdmissionAction> {
         let mut actions = self.advance(now);
-        if self.requests.contains_key(&ask.request) {
+        if self.requests.contains_key(&admission.request) {
             return actions;
         }
-        match self.check(now, &ask) {
-            Ok(known) => {
-                self.enqueue(now, known);
+        match self.check_admission(now, &admission) {
+            Ok(tracked) => {
+                self.enqueue(now, tracked);
                 self.start_ready(now, &mut actions);
             }
-            Err((reason, wait)) => actions.push(self.refusal(ask.request, reason, wait)),
+            Err((reason, wait)) => actions.push(self.refusal(admission.request, reason, wait)),
         }
         actions
     }
 
-    /// The first token of a started request came. Entries that never say so start
-    /// as many requests as they have slots.
+    /// Records the first token of a started request. An entry that never records first
+    /// tokens starts as many requests as it has slots.
     pub fn note_first_token(
         &mut self,
         now: ClockTime,
         request: &RequestId,
     ) -> Vec<AdmissionAction> {
-        if let Some(known) = self.requests.get_mut(request)
-            && let Some(started) = known.unanswered_since.take()
-            && let Some(pool) = self.pools.get_mut(&known.ask.pool)
+        if let Some(tracked) = self.requests.get_mut(request)
+            && let Some(started) = tracked.first_token_pending_since.take()
+            && let Some(pool) = self.pools.get_mut(&tracked.admission.pool)
         {
-            let took = Some(now.since(started));
-            pool.answered(now, known.ask.priority, took, self.settings.start_target);
+            let elapsed = Some(now.since(started));
+            pool.record_first_token(
+                now,
+                tracked.admission.priority,
+                elapsed,
+                self.settings.start_target,
+            );
         }
         self.advance(now)
     }
 
-    /// The caller is gone. Queued work is dropped; running work counts as ended
-    /// with `delivered` output tokens.
+    /// Records that the caller cancelled. A queued request is removed; a running one
+    /// counts as ended with `delivered` output tokens.
     pub fn cancel(
         &mut self,
         now: ClockTime,
@@ -164,50 +173,53 @@
         self.finish(now, request, delivered)
     }
 
-    /// The request ended with `delivered` output tokens: the estimated cost is
-    /// replaced by the real one, and the slot is free.
+    /// Records that the request ended with `delivered` output tokens: the estimated
+    /// cost is replaced by the actual one, and the slot is free.
     pub fn finish(
         &mut self,
         now: ClockTime,
         request: &RequestId,
         delivered: TokenCount,
     ) -> Vec<AdmissionAction> {
-        let Some(known) = self.requests.get(request).cloned() else {
+        let Some(tracked) = self.requests.get(request).cloned() else {
             return self.advance(now);
         };
-        match known.place {
+        match tracked.position {
             Some(_) => {
-                self.unqueue(request);
+                self.dequeue(request);
             }
-            None => self.settle(now, &known, delivered),
+            None => self.settle(now, &tracked, delivered),
         }
         self.advance(now)
     }
 
-    /// Lets time pass: refuses what has become too late, and starts what can be.
+    /// Refuses the requests that have become too late, and starts those that can start.
     pub fn advance(&mut self, now: ClockTime) -> Vec<AdmissionAction> {
         let mut actions = Vec::new();
         self.refuse_expired(now, &mut actions);
-        let due = |reviewed_at| now.since(reviewed_at) >= REVIEW_PERIOD;
-        if self.reviewed_at.is_none_or(due) {
-            self.reviewed_at = Some(now);
-            self.review(now, &mut actions);
+        let is_due =
+            |last_deadline_check| now.since(last_deadline_check) >= DEADLINE_CHECK_INTERVAL;
+        if self.last_deadline_check.is_none_or(is_due) {
+            self.last_deadline_check = Some(now);
+            self.refuse_late(now, &mut actions);
         }
         self.start_ready(now, &mut actions);
         actions
     }
 
-    /// When [`AdmissionQueue::advance`] must be called next, if nothing happens.
+    /// When [`AdmissionQueue::advance`] must be called next if nothing else happens.
     pub fn next_wake(&self) -> Option<ClockTime> {
         let (deadline, _) = self.deadlines.first()?;
         let expiry = *deadline + TimeSpan::from_millis(1);
-        let review = self.reviewed_at.map(|at| at + REVIEW_PERIOD);
-        Some(review.map_or(expiry, |review| review.min(expiry)))
+        let next_check = self
+            .last_deadline_check
+            .map(|at| at + DEADLINE_CHECK_INTERVAL);
+        Some(next_check.map_or(expiry, |next_check| next_check.min(expiry)))
     }
 
-    /// The state of each pool, for dumps and metrics.
+    /// Returns the state of each pool, for dumps and metrics.
     pub fn status(&self) -> Vec<PoolStatus> {
-        let nobody = OrganisationId::new("-").expect("a dash is an identifier");
+        let unknown = OrganisationId::new("-").expect("a dash is an identifier");
         let weight = self.settings.default_limits.weight;
         let status = |(pool, queue): (&RoutePool, &PoolQueue)| PoolStatus {
             pool: pool.clone(),
@@ -217,12 +229,12 @@
             queued: queue.queued(),
             waiting_organisations: queue.waiting_organisations(),
             token_rate: TokenRate::new(queue.rate()),
-            wait: queue.wait(&nobody, weight, WorkPriority::Interactive, 0),
+            wait: queue.wait(&unknown, weight, WorkPriority::Interactive, 0),
         };
         self.pools.iter().map(status).collect()
     }
 
-    /// How many organisations' counters are remembered, over all pools.
+    /// Number of organisations with a counter, over all pools.
     pub fn tracked_organisations(&self) -> usize {
         self.pools.values().map(|pool| pool.counters.len()).sum()
     }
@@ -234,54 +246,69 @@
             .unwrap_or(self.settings.default_limits)
     }
 
-    fn expected_cost(&self, ask: &AdmissionRequest) -> TokenCount {
-        let share = self.output_share.get(&ask.pool).copied();
-        let share = share.unwrap_or(FIRST_OUTPUT_SHARE);
-        let output = TokenCount::new(ask.max_output.count() * share / 1_000);
-        token_cost(ask.prompt_tokens, output)
+    fn expected_cost(&self, admission: &AdmissionRequest) -> TokenCount {
+        let share = self.output_shares.get(&admission.pool).copied();
+        let share = share.unwrap_or(INITIAL_OUTPUT_SHARE);
+        let output = TokenCount::new(admission.max_output.count() * share / 1_000);
+        token_cost(admission.prompt_tokens, output)
     }
 
-    fn enqueue(&mut self, now: ClockTime, known: KnownRequest) {
-        let Some(place) = known.place else { return };
-        let ask = &known.ask;
-        let weight = self.limits_of(&ask.organisation).weight;
-        let Some(pool) = self.pools.get_mut(&ask.pool) else {
+    fn enqueue(&mut self, now: ClockTime, tracked: TrackedRequest) {
+        let Some(position) = tracked.position else {
+            return;
+        };
+        let admission = &tracked.admission;
+        let weight = self.limits_of(&admission.organisation).weight;
+        let Some(pool) = self.pools.get_mut(&admission.pool) else {
             return;
         };
         let work = QueuedWork {
-            request: ask.request.clone(),
-            cost: known.cost,
+            request: admission.request.clone(),
+            cost: tracked.cost,
             queued_at: now,
         };
-        pool.push(&ask.organisation, weight, ask.priority, place, work);
-        *self.in_flight.entry(ask.organisation.clone()).or_default() += 1;
-        let busy = self.in_flight.len();
-        if pool.counters.len() > SWEEP_SIZE + 2 * busy {
+        pool.push(
+            &admission.organisation,
+            weight,
+            admission.priority,
+            position,
+            work,
+        );
+        *self
+            .in_flight
+            .entry(admission.organisation.clone())
+            .or_default() += 1;
+        let active = self.in_flight.len();
+        if pool.counters.len() > PRUNE_THRESHOLD + 2 * active {
             let in_flight = &self.in_flight;
-            let limit = SWEEP_SIZE + busy;
+            let limit = PRUNE_THRESHOLD + active;
             pool.counters
-                .sweep(limit, |org| in_flight.contains_key(org));
+                .prune(limit, |organisation| in_flight.contains_key(organisation));
         }
-        self.next_place += 1;
+        self.next_sequence += 1;
         self.deadlines
-            .insert((known.latest_start, ask.request.clone()));
-        self.requests.insert(ask.request.clone(), known);
+            .insert((tracked.latest_start, admission.request.clone()));
+        self.requests.insert(admission.request.clone(), tracked);
     }
 
-    /// Takes a request out of the queue for good.
-    fn unqueue(&mut self, request: &RequestId) -> Option<KnownRequest> {
-        let known = self.requests.get(request)?;
-        let place = known.place?;
-        let known = self.requests.remove(request)?;
+    /// Removes a queued request for good.
+    fn dequeue(&mut self, request: &RequestId) -> Option<TrackedRequest> {
+        let tracked = self.requests.get(request)?;
+        let position = tracked.position?;
+        let tracked = self.requests.remove(request)?;
         self.deadlines
-            .remove(&(known.latest_start, request.clone()));
-        let pool = self.pools.get_mut(&known.ask.pool)?;
-        pool.remove(&known.ask.organisation, known.ask.priority, place);
-        self.leave(&known.ask.organisation);
-        Some(known)
+            .remove(&(tracked.latest_start, request.clone()));
+        let pool = self.pools.get_mut(&tracked.admission.pool)?;
+        pool.remove(
+            &tracked.admission.organisation,
+            tracked.admission.priority,
+            position,
+        );
+        self.decrement_in_flight(&tracked.admission.organisation);
+        Some(tracked)
     }
 
-    fn leave(&mut self, organisation: &OrganisationId) {
+    fn decrement_in_flight(&mut self, organisation: &OrganisationId) {
         let Some(count) = self.in_flight.get_mut(organisation) else {
             return;
         };
@@ -291,54 +318,61 @@
         }
     }
 
-    fn settle(&mut self, now: ClockTime, known: &KnownRequest, delivered: TokenCount) {
-        let ask = &known.ask;
-        self.requests.remove(&ask.request);
-        self.leave(&ask.organisation);
-        self.learn_output(ask, delivered);
-        let weight = self.limits_of(&ask.organisation).weight;
-        let real = token_cost(ask.prompt_tokens, delivered);
+    fn settle(&mut self, now: ClockTime, tracked: &TrackedRequest, delivered: TokenCount) {
+        let admission = &tracked.admission;
+        self.requests.remove(&admission.request);
+        self.decrement_in_flight(&admission.organisation);
+        self.update_output_share(admission, delivered);
+        let weight = self.limits_of(&admission.organisation).weight;
+        let actual_cost = token_cost(admission.prompt_tokens, delivered);
         let limit = self.settings.debt_limit;
-        if let Some(pool) = self.pools.get_mut(&ask.pool) {
-            pool.finish(now, known.cost);
-            if known.unanswered_since.is_some() {
-                pool.answered(now, ask.priority, None, self.settings.start_target);
+        if let Some(pool) = self.pools.get_mut(&admission.pool) {
+            pool.finish(now, tracked.cost);
+            if tracked.first_token_pending_since.is_some() {
+                pool.record_first_token(now, admission.priority, None, self.settings.start_target);
             }
-            pool.recount(&ask.organisation, |counters| {
-                counters.correct(&ask.organisation, known.charged, real, weight, limit);
+            pool.update_counter(&admission.organisation, |counters| {
+                counters.correct(
+                    &admission.organisation,
+                    tracked.charged,
+                    actual_cost,
+                    weight,
+                    limit,
+                );
             });
         }
-        let key = (ask.pool.clone(), ask.organisation.clone());
-        *self.unsent.entry(key).or_default() += real.count();
+        let key = (admission.pool.clone(), admission.organisation.clone());
+        *self.unsent_costs.entry(key).or_default() += actual_cost.count();
     }
 
-    fn learn_output(&mut self, ask: &AdmissionRequest, delivered: TokenCount) {
-        if ask.max_output == TokenCount::ZERO {
+    fn update_output_share(&mut self, admission: &AdmissionRequest, delivered: TokenCount) {
+        if admission.max_output == TokenCount::ZERO {
             return;
         }
-        let share = (delivered.count() * 1_000 / ask.max_output.count()).min(1_000);
-        let known = self
-            .output_share
-            .entry(ask.pool.clone())
-            .or_insert(FIRST_OUTPUT_SHARE);
-        *known = (*known * (1_000 - OUTPUT_SHARE_GAIN) + share * OUTPUT_SHARE_GAIN) / 1_000;
+        let share = (delivered.count() * 1_000 / admission.max_output.count()).min(1_000);
+        let expected_share = self
+            .output_shares
+            .entry(admission.pool.clone())
+            .or_insert(INITIAL_OUTPUT_SHARE);
+        *expected_share =
+            (*expected_share * (1_000 - OUTPUT_SHARE_WEIGHT) + share * OUTPUT_SHARE_WEIGHT) / 1_000;
     }
 
     fn start_ready(&mut self, now: ClockTime, actions: &mut Vec<AdmissionAction>) {
         for (name, pool) in &mut self.pools {
             while let Some(started) = pool.pop(&self.settings) {
                 let request = started.work.request;
-                let Some(known) = self.requests.get_mut(&request) else {
+                let Some(tracked) = self.requests.get_mut(&request) else {
                     continue;
                 };
-                known.place = None;
-                known.charged = started.charged;
-                known.unanswered_since = Some(now);
+                tracked.position = None;
+                tracked.charged = started.charged;
+                tracked.first_token_pending_since = Some(now);
                 self.deadlines
-                    .remove(&(known.latest_start, request.clone()));
+                    .remove(&(tracked.latest_start, request.clone()));
                 let waited = now.since(started.work.queued_at);
                 let reason = format!(
-                    "`{}` served least in `{name}`: {} ahead of the floor, waited {waited}, cost {}",
+                    "`{}` is the least served in `{name}`: {} above the floor, waited {waited}, cost {}",
                     started.organisation, started.debt, started.work.cost
                 );
                 actions.push(AdmissionAction::Start { request, reason });
@@ -347,7 +381,7 @@
     }
 }
 
-/// An organisation's weight as the default settings have it.
+/// The default limits with the organisation's weight.
 impl From<ShareWeight> for OrganisationLimits {
     fn from(weight: ShareWeight) -> OrganisationLimits {
         OrganisationLimits {
--- a/crates/core/src/admission/queue/refusals.rs
+++ b/crates/core/src/admission/queue/refusals.rs
@@ -1,8 +1,9 @@
-//! Who is refused, when, and when asking again makes sense.
+//! Refusals: which requests are refused, when, and after which time a retry makes
+//! sense.
 
 use rand::Rng;
 
-use super::{AdmissionQueue, KnownRequest};
+use super::{AdmissionQueue, TrackedRequest};
 use crate::{
     admission::{AdmissionAction, AdmissionRequest, RefuseReason},
     clock::{ClockTime, TimeSpan},
@@ -10,65 +11,79 @@
 };
 
 impl AdmissionQueue {
-    pub(super) fn check(
+    pub(super) fn check_admission(
         &mut self,
         now: ClockTime,
-        ask: &AdmissionRequest,
-    ) -> Result<KnownRequest, (RefuseReason, TimeSpan)> {
-        let limits = self.limits_of(&ask.organisation);
-        let in_flight = self.in_flight.get(&ask.organisation).copied().unwrap_or(0);
+        admission: &AdmissionRequest,
+    ) -> Result<TrackedRequest, (RefuseReason, TimeSpan)> {
+        let limits = self.limits_of(&admission.organisation);
+        let in_flight = self
+            .in_flight
+            .get(&admission.organisation)
+            .copied()
+            .unwrap_or(0);
         if in_flight >= limits.max_in_flight {
             let limit = limits.max_in_flight;
             return Err((RefuseReason::InFlightLimit { limit }, TimeSpan::ZERO));
         }
-        let Some(pool) = self.pools.get(&ask.pool).filter(|p| p.capacity.slots > 0) else {
+        let Some(pool) = self
+            .pools
+            .get(&admission.pool)
+            .filter(|p| p.capacity.slots > 0)
+        else {
             return Err((RefuseReason::NoCapacity, self.settings.least_retry_after));
         };
-        let place = (ask.deadline, self.next_place);
-        let ahead = pool.own_ahead(&ask.organisation, ask.priority, place);
-        let wait = pool.wait(&ask.organisation, limits.weight, ask.priority, ahead);
-        let latest_start = ask.deadline - pool.window.first_token();
+        let position = (admission.deadline, self.next_sequence);
+        let cost_ahead = pool.cost_ahead(&admission.organisation, admission.priority, position);
+        let wait = pool.wait(
+            &admission.organisation,
+            limits.weight,
+            admission.priority,
+            cost_ahead,
+        );
+        let latest_start = admission.deadline - pool.window.first_token();
         let allowed = latest_start.since(now);
         if now > latest_start || wait > allowed {
             let reason = RefuseReason::DeadlineUnreachable { wait, allowed };
             return Err((reason, wait.less(allowed)));
         }
-        let cost = self.expected_cost(ask);
-        Ok(KnownRequest {
-            ask: ask.clone(),
+        let cost = self.expected_cost(admission);
+        Ok(TrackedRequest {
+            admission: admission.clone(),
             cost,
             latest_start,
-            place: Some(place),
+            position: Some(position),
             charged: 0,
-            unanswered_since: None,
+            first_token_pending_since: None,
         })
     }
 
     pub(super) fn refuse_expired(&mut self, now: ClockTime, actions: &mut Vec<AdmissionAction>) {
-        while let Some((latest, request)) = self.deadlines.first().cloned() {
-            if now <= latest {
+        while let Some((latest_start, request)) = self.deadlines.first().cloned() {
+            if now <= latest_start {
                 break;
             }
             self.refuse_queued(&request, TimeSpan::ZERO, TimeSpan::ZERO, actions);
         }
     }
 
-    /// Refuses queued work as soon as it is clear that it would start too late,
-    /// for instance because an endpoint was lost. Without this its callers would
-    /// learn of the refusal only when their deadline is over.
-    pub(super) fn review(&mut self, now: ClockTime, actions: &mut Vec<AdmissionAction>) {
+    /// Refuses queued requests as soon as they would start too late, for example
+    /// because an endpoint was lost. Otherwise their callers would receive the refusal
+    /// only when the deadline has passed.
+    pub(super) fn refuse_late(&mut self, now: ClockTime, actions: &mut Vec<AdmissionAction>) {
         let requests = &self.requests;
-        let latest = |request: &RequestId| requests.get(request).map(|known| known.latest_start);
-        let mut late = Vec::new();
+        let latest_start =
+            |request: &RequestId| requests.get(request).map(|tracked| tracked.latest_start);
+        let mut late_requests = Vec::new();
         for pool in self.pools.values_mut() {
             pool.measure(now);
-            late.extend(pool.late(now, latest));
+            late_requests.extend(pool.late_requests(now, latest_start));
         }
-        for (request, wait) in late {
-            let Some(known) = self.requests.get(&request) else {
+        for (request, wait) in late_requests {
+            let Some(tracked) = self.requests.get(&request) else {
                 continue;
             };
-            let allowed = known.latest_start.since(now);
+            let allowed = tracked.latest_start.since(now);
             self.refuse_queued(&request, wait, allowed, actions);
         }
     }
@@ -80,7 +95,7 @@
         allowed: TimeSpan,
         actions: &mut Vec<AdmissionAction>,
     ) {
-        if self.unqueue(request).is_none() {
+        if self.dequeue(request).is_none() {
             return;
         }
         let reason = RefuseReason::DeadlineUnreachable { wait, allowed };
@@ -94,11 +109,11 @@
         reason: RefuseReason,
         wait: TimeSpan,
     ) -> AdmissionAction {
-        let least = self.settings.least_retry_after;
-        let most = self.settings.most_retry_after;
-        let base = wait.max(least).as_millis();
-        let jitter = self.random.random_range(0..=base / 2);
-        let retry_after = TimeSpan::from_millis(base + jitter).min(most);
+        let min_retry_after = self.settings.least_retry_after;
+        let max_retry_after = self.settings.most_retry_after;
+        let base_ms = wait.max(min_retry_after).as_millis();
+        let jitter_ms = self.random.random_range(0..=base_ms / 2);
+        let retry_after = TimeSpan::from_millis(base_ms + jitter_ms).min(max_retry_after);
         AdmissionAction::Refuse {
             request,
             reason,
--- a/crates/core/src/admission/queue/shares.rs
+++ b/crates/core/src/admission/queue/shares.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other of the cost that they served.
+//! Exchange of served costs between entries.
 
 use super::{AdmissionQueue, ShareKey};
 use crate::{
@@ -9,11 +9,11 @@
 };
 
 impl AdmissionQueue {
-    /// What was served and not yet told, for the peers: the `limit` largest
-    /// shares. Smaller ones add up until they are among the largest.
+    /// Returns the served costs that were not reported yet, for the peers: the `limit`
+    /// largest ones. Smaller ones accumulate until they are among the largest.
     pub fn take_shares(&mut self, now: ClockTime, limit: usize) -> ShareReport {
         let mut largest: Vec<(u64, ShareKey)> = self
-            .unsent
+            .unsent_costs
             .iter()
             .map(|(key, served)| (*served, key.clone()))
             .collect();
@@ -21,7 +21,7 @@
         largest.truncate(limit);
         let mut shares = Vec::with_capacity(largest.len());
         for (served, key) in largest {
-            self.unsent.remove(&key);
+            self.unsent_costs.remove(&key);
             let (pool, organisation) = key;
             let served = TokenCount::new(served);
             shares.push(PeerShare {
@@ -36,34 +36,34 @@
         }
     }
 
-    /// Takes in what a peer served. A repeat of a report changes nothing; a lost
-    /// one only makes the counters a little too low.
+    /// Charges the costs that a peer served. A duplicate report changes nothing; a lost
+    /// one makes the counters slightly too low.
     pub fn note_peer_shares(&mut self, peer: &InstanceId, report: &ShareReport) {
         if self
-            .peers
+            .last_peer_reports
             .get(peer)
             .is_some_and(|last| report.made_at <= *last)
         {
             return;
         }
-        self.peers.insert(peer.clone(), report.made_at);
+        self.last_peer_reports.insert(peer.clone(), report.made_at);
         for share in &report.shares {
-            self.charge_remote(share);
+            self.charge_peer_share(share);
         }
     }
 
-    /// Forgets a peer that is gone.
+    /// Removes a peer that is no longer registered.
     pub fn forget_peer(&mut self, peer: &InstanceId) {
-        self.peers.remove(peer);
+        self.last_peer_reports.remove(peer);
     }
 
-    fn charge_remote(&mut self, share: &PeerShare) {
+    fn charge_peer_share(&mut self, share: &PeerShare) {
         let weight = self.limits_of(&share.organisation).weight;
         let limit = self.settings.debt_limit;
         let Some(pool) = self.pools.get_mut(&share.pool) else {
             return;
         };
-        pool.recount(&share.organisation, |counters| {
+        pool.update_counter(&share.organisation, |counters| {
             counters.charge(&share.organisation, share.served, weight, limit)
         });
     }
--- a/crates/core/src/admission/window.rs
+++ b/crates/core/src/admission/window.rs
@@ -1,109 +1,112 @@
-//! How many started requests may be without a first token.
+//! Limits the number of started requests without a first token.
 //!
-//! An engine's queue knows no shares and no deadlines: what waits there waits in
-//! the order of arrival, and a flood that got in first is served first. One
-//! notices it by first tokens that come late although little waits at the
-//! entries. So the entry starts no more than the engines turn into first tokens
-//! within a target time: the window grows while they keep it and shrinks when
-//! they don't, and whatever waits, waits in the fair queue.
+//! An engine's queue implements neither shares nor deadlines: requests wait there in
+//! the order of arrival, so a flood that arrived first is served first. The symptom is
+//! late first tokens while few requests are queued at the entries. An entry therefore
+//! starts only as many requests as the engines answer with a first token within a
+//! target time: the window grows while they meet the target and shrinks when they miss
+//! it, so that requests wait in the fair queue instead.
 
 use crate::{
     clock::{ClockTime, TimeSpan},
     config::WorkPriority,
 };
 
-/// Window units for one request.
-const UNITS: u64 = 1_000;
-/// How much the measured time to a first token moves with a new one, in percent.
-const GAIN: u64 = 10;
+/// Window units per request.
+const UNITS_PER_REQUEST: u64 = 1_000;
+/// Weight of a new time to the first token in the moving average, in percent.
+const FIRST_TOKEN_GAIN: u64 = 10;
 
 /// The window of one pool.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StartWindow {
     limit: u64,
-    interactive: u32,
-    deferrable: u32,
-    reduced_at: ClockTime,
+    interactive_pending: u32,
+    deferrable_pending: u32,
+    last_reduction: ClockTime,
     first_token: TimeSpan,
 }
 
 impl StartWindow {
-    /// A window that admits `slots` until the first measurements.
+    /// Creates a window that admits `slots` requests until the first measurements.
     pub fn new(slots: u32, first_token: TimeSpan) -> StartWindow {
         StartWindow {
-            limit: u64::from(slots.max(1)) * UNITS,
-            interactive: 0,
-            deferrable: 0,
-            reduced_at: ClockTime::default(),
+            limit: u64::from(slots.max(1)) * UNITS_PER_REQUEST,
+            interactive_pending: 0,
+            deferrable_pending: 0,
+            last_reduction: ClockTime::default(),
             first_token,
         }
     }
 
-    /// The slots changed: the window changes along, and is measured again.
+    /// Scales the limit with the number of slots; measurements then adjust it again.
     pub fn rescale(&mut self, old: u32, new: u32) {
         let (old, new) = (u64::from(old.max(1)), u64::from(new.max(1)));
-        self.limit = (self.limit * new / old).clamp(UNITS, new * UNITS);
+        self.limit = (self.limit * new / old).clamp(UNITS_PER_REQUEST, new * UNITS_PER_REQUEST);
     }
 
-    /// The measured time from a start to the first token.
+    /// Moving average of the time from a start to the first token.
     pub fn first_token(&self) -> TimeSpan {
         self.first_token
     }
 
-    /// How many requests may be without a first token.
+    /// Maximum number of started requests without a first token.
     pub fn limit(&self) -> u64 {
-        self.limit / UNITS
+        self.limit / UNITS_PER_REQUEST
     }
 
-    /// Whether one more may start. Deferrable work waits at engines behind all
-    /// other; it must not keep interactive work from starting.
+    /// Whether one more request may start. Deferrable requests wait at engines behind
+    /// all others and must not keep interactive ones from starting.
     pub fn admits(&self, priority: WorkPriority) -> bool {
-        let unanswered = match priority {
-            WorkPriority::Interactive => self.interactive,
-            WorkPriority::Deferrable => self.interactive + self.deferrable,
+        let pending = match priority {
+            WorkPriority::Interactive => self.interactive_pending,
+            WorkPriority::Deferrable => self.interactive_pending + self.deferrable_pending,
         };
-        u64::from(unanswered) < self.limit()
+        u64::from(pending) < self.limit()
     }
 
-    /// A request starts.
-    pub fn start(&mut self, priority: WorkPriority) {
-        *self.unanswered(priority) += 1;
+    /// Counts a request that starts.
+    pub fn record_start(&mut self, priority: WorkPriority) {
+        *self.pending_mut(priority) += 1;
     }
 
-    /// A started request's first token came after `took`; none if it ended
-    /// without one.
-    pub fn answer(
+    /// Records that a started request produced its first token after `elapsed`, or
+    /// ended without one. Adjusts the limit by the first tokens of interactive
+    /// requests.
+    pub fn record_first_token(
         &mut self,
         now: ClockTime,
         priority: WorkPriority,
-        took: Option<TimeSpan>,
+        elapsed: Option<TimeSpan>,
         target: TimeSpan,
         slots: u32,
     ) {
-        let busy = u64::from(self.interactive + self.deferrable) * 2 >= self.limit();
-        let count = self.unanswered(priority);
+        let is_half_used =
+            u64::from(self.interactive_pending + self.deferrable_pending) * 2 >= self.limit();
+        let count = self.pending_mut(priority);
         *count = count.saturating_sub(1);
-        let (Some(took), WorkPriority::Interactive) = (took, priority) else {
+        let (Some(elapsed), WorkPriority::Interactive) = (elapsed, priority) else {
             return;
         };
-        let kept = self.first_token.as_millis() * (100 - GAIN);
-        let moved = (kept + took.as_millis() * GAIN) / 100;
-        self.first_token = TimeSpan::from_millis(moved);
-        if took > target {
-            if now.since(self.reduced_at) >= target {
-                self.reduced_at = now;
-                self.limit = (self.limit * 9 / 10).max(UNITS);
+        let weighted_ms = self.first_token.as_millis() * (100 - FIRST_TOKEN_GAIN);
+        let average_ms = (weighted_ms + elapsed.as_millis() * FIRST_TOKEN_GAIN) / 100;
+        self.first_token = TimeSpan::from_millis(average_ms);
+        if elapsed > target {
+            if now.since(self.last_reduction) >= target {
+                self.last_reduction = now;
+                self.limit = (self.limit * 9 / 10).max(UNITS_PER_REQUEST);
             }
-        } else if busy {
-            let most = u64::from(slots.max(1)) * UNITS;
-            self.limit = (self.limit + UNITS * UNITS / self.limit).min(most.max(UNITS));
+        } else if is_half_used {
+            let max_limit = u64::from(slots.max(1)) * UNITS_PER_REQUEST;
+            self.limit = (self.limit + UNITS_PER_REQUEST * UNITS_PER_REQUEST / self.limit)
+                .min(max_limit.max(UNITS_PER_REQUEST));
         }
     }
 
-    fn unanswered(&mut self, priority: WorkPriority) -> &mut u32 {
+    fn pending_mut(&mut self, priority: WorkPriority) -> &mut u32 {
         match priority {
-            WorkPriority::Interactive => &mut self.interactive,
-            WorkPriority::Deferrable => &mut self.deferrable,
+            WorkPriority::Interactive => &mut self.interactive_pending,
+            WorkPriority::Deferrable => &mut self.deferrable_pending,
         }
     }
 }
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Fair shares, deadlines and limits of one entry's queue.
+//! Fair shares, deadlines and limits of an entry's admission queue.
 
 use bluebell_core::{
     admission::{
@@ -24,7 +24,7 @@
     ClockTime::from_millis(millis)
 }
 
-fn ask(organisation_name: &str, number: u64, deadline: u64) -> AdmissionRequest {
+fn admission(organisation_name: &str, number: u64, deadline: u64) -> AdmissionRequest {
     AdmissionRequest {
         request: RequestId::new(format!("{organisation_name}-{number}")).expect("valid"),
         organisation: organisation(organisation_name),
@@ -68,7 +68,7 @@
 }
 
 /// Runs one request at a time to its end and returns the order of starts.
-fn run_one_by_one(queue: &mut AdmissionQueue, mut running: String) -> Vec<String> {
+fn run_sequentially(queue: &mut AdmissionQueue, mut running: String) -> Vec<String> {
     let mut order = vec![running.clone()];
     loop {
         let request = RequestId::new(running).expect("valid");
@@ -81,93 +81,95 @@
     }
 }
 
-/// One organisation sends twenty requests at once, then another sends two. In
-/// the order of arrival the second would wait behind all twenty; its shoppers
-/// would have left by then.
+/// One organisation sends twenty requests at once, then another one sends two. In the
+/// order of arrival the second organisation would wait behind all twenty requests, and
+/// its shoppers would have left by then.
 #[test]
-fn a_flood_delays_another_organisation_by_one_request_only() {
+fn a_flood_delays_another_organisation_by_few_requests_only() {
     let mut queue = queue(1, 1_000_000);
     for number in 0..20 {
-        queue.offer(at(0), ask("flood", number, 60_000));
+        queue.offer(at(0), admission("flood", number, 60_000));
     }
     for number in 0..2 {
-        queue.offer(at(1), ask("small", number, 60_000));
+        queue.offer(at(1), admission("small", number, 60_000));
     }
-    let order = run_one_by_one(&mut queue, "flood-0".to_string());
-    let last_small = order
+    let order = run_sequentially(&mut queue, "flood-0".to_string());
+    let last_small_position = order
         .iter()
         .position(|request| request == "small-1")
-        .expect("it ran");
-    assert!(last_small <= 4, "{order:?}");
+        .expect("the request ran");
+    assert!(last_small_position <= 4, "{order:?}");
     assert_eq!(order.len(), 22);
 }
 
-/// An organisation that slept for an hour comes back while another works. If it
-/// had kept its low counter, it would shut the other out until it had caught up.
+/// An organisation that was idle for an hour becomes active while another one sends
+/// requests. If it had kept its low counter, it would block the other one until its
+/// counter had caught up.
 #[test]
-fn an_idle_organisation_banks_no_credit() {
+fn an_idle_organisation_gains_no_credit() {
     let mut queue = queue(1, 1_000_000);
-    queue.offer(at(0), ask("sleeper", 99, 60_000));
+    queue.offer(at(0), admission("sleeper", 99, 60_000));
     queue.finish(
         at(0),
         &RequestId::new("sleeper-99").expect("valid"),
         TokenCount::ZERO,
     );
     for number in 0..30 {
-        queue.offer(at(0), ask("busy", number, 60_000));
+        queue.offer(at(0), admission("busy", number, 60_000));
     }
     let mut running = "busy-0".to_string();
     for _ in 0..15 {
         let request = RequestId::new(running).expect("valid");
         running = started(&queue.finish(at(5), &request, TokenCount::ZERO))
             .pop()
-            .expect("more waits");
+            .expect("another request is queued");
     }
     for number in 0..10 {
-        queue.offer(at(6), ask("sleeper", number, 60_000));
+        queue.offer(at(6), admission("sleeper", number, 60_000));
     }
-    let order = run_one_by_one(&mut queue, running);
-    let busy_among_first = order[1..11]
+    let order = run_sequentially(&mut queue, running);
+    let busy_count = order[1..11]
         .iter()
         .filter(|request| request.starts_with("busy"))
         .count();
-    assert!((4..=6).contains(&busy_among_first), "{order:?}");
+    assert!((4..=6).contains(&busy_count), "{order:?}");
 }
 
-/// An endpoint comes back and eight slots are free at once. If work counted only
-/// when it ends, whoever is first in the order would get all eight.
+/// An endpoint becomes available again and eight slots are free at once. If requests
+/// were charged only when they end, the organisation that is first in the order would
+/// get all eight slots.
 #[test]
-fn slots_that_are_freed_together_are_shared() {
+fn slots_that_become_free_together_are_shared() {
     let mut queue = queue(1, 1_000_000);
-    queue.offer(at(0), ask("first", 0, 60_000));
+    queue.offer(at(0), admission("first", 0, 60_000));
     for number in 0..8 {
-        queue.offer(at(0), ask("a", number, 60_000));
-        queue.offer(at(0), ask("b", number, 60_000));
+        queue.offer(at(0), admission("a", number, 60_000));
+        queue.offer(at(0), admission("b", number, 60_000));
     }
-    let more = PoolCapacity {
+    let larger = PoolCapacity {
         slots: 9,
         token_rate: TokenRate::new(1_000_000),
         first_token: TimeSpan::from_millis(100),
     };
-    let order = started(&queue.set_capacity(at(1), &pool(), more));
+    let order = started(&queue.set_capacity(at(1), &pool(), larger));
     assert_eq!(order.len(), 8);
-    let of_a = order.iter().filter(|request| request.starts_with("a-"));
-    assert_eq!(of_a.count(), 4, "{order:?}");
+    let starts_of_a = order.iter().filter(|request| request.starts_with("a-"));
+    assert_eq!(starts_of_a.count(), 4, "{order:?}");
 }
 
 #[test]
-fn weights_divide_the_starts() {
+fn starts_are_shared_by_weight() {
     let mut queue = queue(1, 1_000_000);
-    let heavy = OrganisationLimits {
+    let limits = OrganisationLimits {
         weight: ShareWeight::new(3),
         max_in_flight: 100,
     };
-    queue.set_limits(organisation("heavy"), heavy);
+    queue.set_limits(organisation("heavy"), limits);
     for number in 0..40 {
-        queue.offer(at(0), ask("heavy", number, 60_000));
-        queue.offer(at(0), ask("light", number, 60_000));
+        queue.offer(at(0), admission("heavy", number, 60_000));
+        queue.offer(at(0), admission("light", number, 60_000));
     }
-    let order = run_one_by_one(&mut queue, "heavy-0".to_string());
+    let order = run_sequentially(&mut queue, "heavy-0".to_string());
     let heavy_count = order[..40]
         .iter()
         .filter(|request| request.starts_with("heavy"))
@@ -175,15 +177,15 @@
     assert!((28..=32).contains(&heavy_count), "{heavy_count}");
 }
 
-/// A flood is spread over all entries, each of which sees only a part of it.
-/// Without the peers' word the flooding organisation looks modest everywhere.
+/// A flood is spread over all entries, each of which receives only a part of it.
+/// Without the peers' reports each entry would count only its own part of the flood.
 #[test]
-fn what_peers_served_counts() {
+fn costs_served_by_peers_are_charged() {
     let mut queue = queue(1, 1_000_000);
-    queue.offer(at(0), ask("first", 0, 60_000));
+    queue.offer(at(0), admission("first", 0, 60_000));
     for number in 0..5 {
-        queue.offer(at(0), ask("spread", number, 60_000));
-        queue.offer(at(0), ask("here", number, 60_000));
+        queue.offer(at(0), admission("spread", number, 60_000));
+        queue.offer(at(0), admission("here", number, 60_000));
     }
     let report = ShareReport {
         made_at: at(7),
@@ -196,7 +198,7 @@
     let peer = InstanceId::new("peer").expect("valid");
     queue.note_peer_shares(&peer, &report);
     queue.note_peer_shares(&peer, &report);
-    let order = run_one_by_one(&mut queue, "first-0".to_string());
+    let order = run_sequentially(&mut queue, "first-0".to_string());
     assert!(
         order[1..6]
             .iter()
@@ -205,15 +207,15 @@
     );
 }
 
-/// A peer's message arrives twice. Counted twice, it would put an organisation
-/// back that has done nothing wrong.
+/// A peer's report arrives twice. Charged twice, it would delay an organisation without
+/// cause.
 #[test]
-fn a_repeated_report_counts_once() {
+fn a_duplicate_report_is_charged_once() {
     let mut queue = queue(1, 1_000_000);
-    queue.offer(at(0), ask("first", 0, 60_000));
+    queue.offer(at(0), admission("first", 0, 60_000));
     for number in 0..5 {
-        queue.offer(at(0), ask("spread", number, 60_000));
-        queue.offer(at(0), ask("here", number, 60_000));
+        queue.offer(at(0), admission("spread", number, 60_000));
+        queue.offer(at(0), admission("here", number, 60_000));
     }
     let report = ShareReport {
         made_at: at(7),
@@ -226,19 +228,19 @@
     let peer = InstanceId::new("peer").expect("valid");
     queue.note_peer_shares(&peer, &report);
     queue.note_peer_shares(&peer, &report);
-    let order = run_one_by_one(&mut queue, "first-0".to_string());
+    let order = run_sequentially(&mut queue, "first-0".to_string());
     let first_spread = order.iter().position(|r| r.starts_with("spread"));
     assert_eq!(first_spread, Some(4), "{order:?}");
 }
 
-/// More work is queued than can be done before the deadline. A caller that is
-/// kept waiting learns only at the deadline that it waited for nothing.
+/// More requests are queued than can run before the deadline. If they were only queued,
+/// their callers would learn at the deadline that they had waited in vain.
 #[test]
-fn work_that_would_be_late_is_refused_at_once() {
+fn a_request_that_would_be_late_is_refused_at_once() {
     let mut queue = queue(1, 100);
     let mut refusals = Vec::new();
     for number in 0..10 {
-        let actions = queue.offer(at(0), ask("kiosk", number, 3_000));
+        let actions = queue.offer(at(0), admission("kiosk", number, 3_000));
         refusals.extend(refused(&actions));
     }
     assert!(!refusals.is_empty());
@@ -252,28 +254,28 @@
     }
 }
 
-/// Half of the endpoints are lost while work is queued. What no longer can be
-/// done in time is told so now, not when its deadline passes.
+/// Half of the endpoints are lost while requests are queued. Those that can no longer
+/// meet their deadline are refused now, not when the deadline passes.
 #[test]
-fn queued_work_is_refused_when_capacity_is_lost() {
+fn queued_requests_are_refused_when_capacity_is_lost() {
     let mut queue = queue(10, 1_000);
     for number in 0..30 {
-        let actions = queue.offer(at(0), ask("kiosk", number, 2_500));
+        let actions = queue.offer(at(0), admission("kiosk", number, 2_500));
         assert!(refused(&actions).is_empty(), "{actions:?}");
     }
-    let less = PoolCapacity {
+    let smaller = PoolCapacity {
         slots: 2,
         token_rate: TokenRate::new(200),
         first_token: TimeSpan::from_millis(100),
     };
-    let actions = queue.set_capacity(at(10), &pool(), less);
+    let actions = queue.set_capacity(at(10), &pool(), smaller);
     assert!(refused(&actions).len() >= 10, "{actions:?}");
 }
 
 #[test]
-fn no_capacity_and_the_in_flight_limit_are_said_so() {
+fn no_capacity_and_the_in_flight_limit_are_given_as_reasons() {
     let mut queue = queue(0, 1_000);
-    let actions = queue.offer(at(0), ask("kiosk", 0, 3_000));
+    let actions = queue.offer(at(0), admission("kiosk", 0, 3_000));
     assert_eq!(refused(&actions)[0].1, RefuseReason::NoCapacity);
     let mut queue = self::queue(1, 1_000_000);
     let limits = OrganisationLimits {
@@ -282,9 +284,9 @@
     };
     queue.set_limits(organisation("kiosk"), limits);
     for number in 0..2 {
-        assert!(refused(&queue.offer(at(0), ask("kiosk", number, 3_000))).is_empty());
+        assert!(refused(&queue.offer(at(0), admission("kiosk", number, 3_000))).is_empty());
     }
-    let actions = queue.offer(at(0), ask("kiosk", 2, 3_000));
+    let actions = queue.offer(at(0), admission("kiosk", 2, 3_000));
     assert_eq!(
         refused(&actions)[0].1,
         RefuseReason::InFlightLimit { limit: 2 }
@@ -294,14 +296,14 @@
 #[test]
 fn interactive_work_starts_before_deferrable_work() {
     let mut queue = queue(1, 1_000_000);
-    queue.offer(at(0), ask("first", 0, 60_000));
+    queue.offer(at(0), admission("first", 0, 60_000));
     for number in 0..3 {
-        let mut later = ask("batch", number, 60_000);
-        later.priority = WorkPriority::Deferrable;
-        queue.offer(at(0), later);
-        queue.offer(at(0), ask("person", number, 60_000));
+        let mut deferrable = admission("batch", number, 60_000);
+        deferrable.priority = WorkPriority::Deferrable;
+        queue.offer(at(0), deferrable);
+        queue.offer(at(0), admission("person", number, 60_000));
     }
-    let order = run_one_by_one(&mut queue, "first-0".to_string());
+    let order = run_sequentially(&mut queue, "first-0".to_string());
     assert!(
         order[1..4]
             .iter()
@@ -310,35 +312,35 @@
     );
 }
 
-/// A caller leaves while its request is queued. The request must neither start
-/// nor count against its organisation.
+/// A caller cancels while its request is queued. The request must neither start nor
+/// count towards its organisation's limit.
 #[test]
-fn a_cancel_in_the_queue_leaves_nothing_behind() {
+fn a_request_cancelled_in_the_queue_neither_starts_nor_counts() {
     let mut queue = queue(1, 1_000_000);
-    queue.offer(at(0), ask("kiosk", 0, 60_000));
-    queue.offer(at(0), ask("kiosk", 1, 60_000));
-    queue.offer(at(0), ask("kiosk", 2, 60_000));
-    let gone = RequestId::new("kiosk-1").expect("valid");
-    assert!(queue.cancel(at(1), &gone, TokenCount::ZERO).is_empty());
-    let order = run_one_by_one(&mut queue, "kiosk-0".to_string());
+    queue.offer(at(0), admission("kiosk", 0, 60_000));
+    queue.offer(at(0), admission("kiosk", 1, 60_000));
+    queue.offer(at(0), admission("kiosk", 2, 60_000));
+    let cancelled = RequestId::new("kiosk-1").expect("valid");
+    assert!(queue.cancel(at(1), &cancelled, TokenCount::ZERO).is_empty());
+    let order = run_sequentially(&mut queue, "kiosk-0".to_string());
     assert_eq!(order, ["kiosk-0", "kiosk-2"]);
     let status = queue.status().pop().expect("one pool");
     assert_eq!((status.running, status.queued), (0, 0));
 }
 
-/// Most callers cancel. If their estimates stayed charged, organisations whose
-/// callers cancel most would get least.
+/// Most callers cancel. If their estimated costs stayed charged, the organisations with
+/// the most cancelled requests would get the smallest share.
 #[test]
-fn the_estimate_is_replaced_by_what_was_delivered() {
+fn the_estimated_cost_is_replaced_by_the_delivered_one() {
     let mut queue = queue(1, 1_000_000);
-    let long = |name: &str, number| AdmissionRequest {
+    let long_output = |name: &str, number| AdmissionRequest {
         max_output: TokenCount::new(1_000),
-        ..ask(name, number, 60_000)
+        ..admission(name, number, 60_000)
     };
-    queue.offer(at(0), long("cancels", 0));
+    queue.offer(at(0), long_output("cancels", 0));
     for number in 1..4 {
-        queue.offer(at(0), long("cancels", number));
-        queue.offer(at(0), long("reads", number));
+        queue.offer(at(0), long_output("cancels", number));
+        queue.offer(at(0), long_output("reads", number));
     }
     let first = RequestId::new("cancels-0").expect("valid");
     let actions = queue.cancel(at(1), &first, TokenCount::ZERO);
@@ -352,11 +354,11 @@
 }
 
 #[test]
-fn idle_organisations_are_forgotten() {
+fn counters_of_idle_organisations_are_removed() {
     let mut queue = queue(8, 1_000_000);
     for number in 0..20_000 {
         let name = format!("org{number}");
-        let actions = queue.offer(at(number), ask(&name, 0, number + 60_000));
+        let actions = queue.offer(at(number), admission(&name, 0, number + 60_000));
         assert_eq!(started(&actions).len(), 1);
         let request = RequestId::new(format!("{name}-0")).expect("valid");
         queue.finish(at(number), &request, TokenCount::ZERO);
@@ -364,14 +366,14 @@
     assert!(queue.tracked_organisations() < 5_000);
 }
 
-/// The engines' queues fill up: first tokens come later and later although
-/// little waits here. What waits there waits in the order of arrival, so a
-/// flood that got in first is served first.
+/// The engines' queues fill up: first tokens arrive later and later although few
+/// requests are queued here. Requests wait in the engines in the order of arrival, so a
+/// flood that arrived first would be served first.
 #[test]
-fn no_more_is_started_than_gets_its_first_token_in_time() {
+fn starts_are_limited_to_first_tokens_within_the_target() {
     let mut queue = queue(40, 1_000_000);
     for number in 0..120 {
-        queue.offer(at(0), ask("flood", number, 600_000));
+        queue.offer(at(0), admission("flood", number, 600_000));
     }
     assert_eq!(queue.status()[0].running, 40);
     for number in 0..80 {
@@ -380,34 +382,38 @@
         queue.note_first_token(now, &request);
         queue.finish(now, &request, TokenCount::ZERO);
     }
-    let slow = queue.status().remove(0);
-    assert!(slow.window <= 4 && slow.running <= 8, "{slow:?}");
+    let status = queue.status().remove(0);
+    assert!(status.window <= 4 && status.running <= 8, "{status:?}");
     for number in 80..120 {
         let request = RequestId::new(format!("flood-{number}")).expect("valid");
-        for later in 0..8 {
-            let number = number * 100 + later;
-            queue.offer(at(100_000), ask("more", number, 600_000));
+        for index in 0..8 {
+            let number = number * 100 + index;
+            queue.offer(at(100_000), admission("more", number, 600_000));
         }
         queue.note_first_token(at(100_000), &request);
         queue.finish(at(100_000), &request, TokenCount::ZERO);
     }
 }
 
-/// Deferrable work of one organisation waits while another floods with
-/// interactive work. Its deadline is minutes away, but strict priority would
-/// never let it start.
+/// A deferrable request of one organisation is queued while another organisation sends
+/// a flood of interactive requests. Its deadline is minutes away, but with strict
+/// priority it would never start.
 #[test]
-fn a_flood_of_interactive_work_does_not_keep_others_deferrable_work_out() {
+fn a_flood_of_interactive_work_does_not_block_deferrable_work_of_others() {
     let mut queue = queue(1, 1_000_000);
-    queue.offer(at(0), ask("flood", 0, 600_000));
-    let mut later = ask("history", 0, 600_000);
-    later.priority = WorkPriority::Deferrable;
-    queue.offer(at(0), later);
+    queue.offer(at(0), admission("flood", 0, 600_000));
+    let mut deferrable = admission("history", 0, 600_000);
+    deferrable.priority = WorkPriority::Deferrable;
+    queue.offer(at(0), deferrable);
     for number in 1..100 {
-        queue.offer(at(0), ask("flood", number, 600_000));
+        queue.offer(at(0), admission("flood", number, 600_000));
     }
-    let order = run_one_by_one(&mut queue, "flood-0".to_string());
-    let place = order.iter().position(|request| request == "history-0");
-    // Behind by the handicap of 4,000 after about 40 requests of 100 tokens.
-    assert!((35..=45).contains(&place.expect("it ran")), "{place:?}");
+    let order = run_sequentially(&mut queue, "flood-0".to_string());
+    let position = order.iter().position(|request| request == "history-0");
+    // Its organisation is behind by the handicap of 4,000 after about 40 requests of
+    // 100 tokens.
+    assert!(
+        (35..=45).contains(&position.expect("the request ran")),
+        "{position:?}"
+    );
 }
