--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -1,19 +1,20 @@
-//! Requests that crash the endpoints that run them.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! Now and then a single request crashes each engine that runs it, and its caller
-//! sends it again. Without a memory of this, one kiosk would take down a whole
-//! fleet, one engine after the other. But many requests run on an engine when it
+//! Occasionally a single request crashes every engine that runs it, and its caller
+//! sends it again. Without a record of these crashes, one such caller would crash a
+//! whole fleet, one engine after the other. But many requests run on an engine when it
 //! crashes, and all but one of them are innocent.
 //!
-//! So a crash makes *suspects* of all requests that ran there ([`QuarantineState`],
-//! shared through the log). A suspect is run again, but never on an endpoint where
-//! another suspect runs ([`CrashTrials`]). If that endpoint crashes too, the suspect
-//! is the cause and is quarantined; if the request ends, it is cleared. A request
-//! costs two endpoints at most, and a bystander is condemned only if it loses two
-//! endpoints for other reasons before it ends.
+//! A crash therefore makes *suspects* of all requests that ran on the endpoint
+//! ([`QuarantineState`], shared through the log). A suspect is run again, but never on
+//! an endpoint where another suspect runs ([`CrashTrials`]). If that endpoint crashes
+//! too, the suspect is the cause and is quarantined; if the request ends, it is
+//! cleared. A request costs two endpoints at most, and an innocent request is
+//! quarantined only if it loses two endpoints for other reasons before it ends.
 //!
-//! The bound rests on the evidence being read before the next try: copies of a
-//! request that run elsewhere at that moment can each cost another endpoint.
+//! The bound requires that the crash record is read before the next attempt: other
+//! attempts at the same request that are running at that moment can each cost another
+//! endpoint.
 
 mod trials;
 
@@ -28,21 +29,21 @@
     records::{CheckpointItem, QuarantineRecord},
 };
 
-/// How many endpoints a request may cost.
+/// Number of lost endpoints at which a request is quarantined.
 pub const MAX_LOST_ENDPOINTS: usize = 2;
 
-/// How many fingerprints are kept.
+/// Maximum number of fingerprints kept.
 pub const MAX_FINGERPRINTS: usize = 1_024;
 
-/// For how many records of the log a fingerprint is remembered after its last
-/// crash. Engines are replaced and mended, so a condemnation does not last for good.
+/// Number of log records after its last crash for which a fingerprint is kept. Engines
+/// are replaced and repaired, so a quarantine does not last for good.
 pub const RETENTION_RECORDS: u64 = 100_000;
 
-/// What is known of a request's part in crashes.
+/// Whether a request is suspected of crashing endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CrashStatus {
-    /// Nothing.
+    /// No endpoint has crashed while it ran.
     Clean,
     /// It ran on an endpoint that crashed.
     Suspect,
@@ -51,22 +52,22 @@
 }
 
 impl CrashStatus {
-    /// The standing of a request that cost this many endpoints.
+    /// Returns the status of a request that cost this many endpoints.
     pub fn with_lost_endpoints(endpoints: usize) -> CrashStatus {
         match endpoints {
             0 => CrashStatus::Clean,
-            n if n < MAX_LOST_ENDPOINTS => CrashStatus::Suspect,
+            lost if lost < MAX_LOST_ENDPOINTS => CrashStatus::Suspect,
             _ => CrashStatus::Quarantined,
         }
     }
 }
 
-/// One loss of an endpoint. Several entries may tell of the same one.
+/// One crash of an endpoint. Several entries may report the same one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct CrashSite {
-    /// The endpoint.
+    /// The endpoint that crashed.
     pub endpoint: EndpointId,
-    /// Which of its starts was lost, as far as known.
+    /// The incarnation of the endpoint that crashed, as far as known.
     pub incarnation: u64,
 }
 
@@ -77,31 +78,31 @@
     last: LogOffset,
 }
 
-/// What the log says of crashes.
+/// The crashes recorded in the log, by request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct QuarantineState {
     histories: BTreeMap<RequestFingerprint, CrashHistory>,
 }
 
 impl QuarantineState {
-    /// Nothing read yet.
+    /// Creates the state of an empty log.
     pub fn new() -> QuarantineState {
         QuarantineState::default()
     }
 
     /// Applies a record read at `offset`.
     pub fn apply(&mut self, _now: ClockTime, offset: LogOffset, record: &QuarantineRecord) {
-        self.forget_old(offset);
+        self.remove_expired(offset);
         if record.cleared {
             if self.status(&record.fingerprint) == CrashStatus::Suspect {
                 self.histories.remove(&record.fingerprint);
             }
             return;
         }
-        self.put(offset, record);
+        self.record_crash(offset, record);
     }
 
-    fn put(&mut self, offset: LogOffset, record: &QuarantineRecord) {
+    fn record_crash(&mut self, offset: LogOffset, record: &QuarantineRecord) {
         let history = self.histories.entry(record.fingerprint.clone());
         let history = history.or_insert_with(|| CrashHistory {
             sites: BTreeSet::new(),
@@ -116,30 +117,35 @@
         if self.histories.len() <= MAX_FINGERPRINTS {
             return;
         }
-        let oldest = self.histories.iter().min_by_key(|(_, h)| h.last);
+        let oldest = self
+            .histories
+            .iter()
+            .min_by_key(|(_, history)| history.last);
         if let Some(fingerprint) = oldest.map(|(fingerprint, _)| fingerprint.clone()) {
             self.histories.remove(&fingerprint);
         }
     }
 
-    fn forget_old(&mut self, offset: LogOffset) {
+    fn remove_expired(&mut self, offset: LogOffset) {
         let age = |history: &CrashHistory| offset.number().saturating_sub(history.last.number());
         self.histories
             .retain(|_, history| age(history) <= RETENTION_RECORDS);
     }
 
-    /// The endpoints that were lost while the request ran there.
+    /// Returns the crashes of endpoints that ran the request.
     pub fn lost(&self, fingerprint: &RequestFingerprint) -> BTreeSet<CrashSite> {
         let history = self.histories.get(fingerprint);
-        history.map(|h| h.sites.clone()).unwrap_or_default()
+        history
+            .map(|history| history.sites.clone())
+            .unwrap_or_default()
     }
 
-    /// The request's standing by the log alone.
+    /// Returns the request's status according to the log alone.
     pub fn status(&self, fingerprint: &RequestFingerprint) -> CrashStatus {
         CrashStatus::with_lost_endpoints(self.lost(fingerprint).len())
     }
 
-    /// The crashes as items of a checkpoint.
+    /// Returns the crashes as items of a checkpoint.
     pub fn checkpoint(&self) -> Vec<CheckpointItem> {
         let items = self.histories.iter().flat_map(|(fingerprint, history)| {
             history.sites.iter().map(|site| {
@@ -159,10 +165,10 @@
         items.collect()
     }
 
-    /// Takes over an item of a checkpoint.
+    /// Restores an item of a checkpoint.
     pub fn restore(&mut self, _now: ClockTime, item: &CheckpointItem) {
         if let CheckpointItem::Quarantine { quarantine, offset } = item {
-            self.put(*offset, quarantine);
+            self.record_crash(*offset, quarantine);
         }
     }
 }
--- a/crates/core/src/quarantine/trials.rs
+++ b/crates/core/src/quarantine/trials.rs
@@ -1,9 +1,9 @@
-//! Running suspects again, each alone among suspects.
+//! Trials: runs of suspects, each on an endpoint without another suspect.
 //!
-//! Entries don't ask each other before they run a suspect. Each tries suspects
-//! only on endpoints that are its own by their place in the sorted lists, so two
-//! entries that see the same lists and as many endpoints as entries never try two
-//! suspects on one endpoint. With fewer endpoints, few entries share one.
+//! Entries don't coordinate before they run a suspect. Each entry runs suspects only on
+//! the endpoints that its index in the sorted lists assigns to it, so two entries that
+//! see the same lists and at least as many endpoints as entries never run two suspects
+//! on one endpoint. With fewer endpoints, a few entries share one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,19 +14,20 @@
     quarantine::{CrashSite, CrashStatus, QuarantineState},
 };
 
-/// How many fingerprints an entry remembers by itself.
-const LOCAL_KEPT: usize = 1_024;
+/// Maximum number of fingerprints in an entry's own record of crashes.
+const MAX_LOCAL_FINGERPRINTS: usize = 1_024;
 
 /// Where a suspect may run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrialChoice {
-    /// On one of these.
+    /// On any of these endpoints.
     AnyOf(Vec<EndpointId>),
-    /// Nowhere until another suspect's run ends.
+    /// On no endpoint until another suspect's run ends.
     Wait,
 }
 
-/// The suspects that one entry runs.
+/// The suspects that one entry runs, and the crashes that it has observed or received
+/// from peers.
 #[derive(Clone, Debug, Serialize)]
 pub struct CrashTrials {
     instance: InstanceId,
@@ -35,7 +36,7 @@
 }
 
 impl CrashTrials {
-    /// No suspect yet at this entry.
+    /// Creates the state of an entry without any suspect.
     pub fn new(instance: InstanceId) -> CrashTrials {
         CrashTrials {
             instance,
@@ -44,21 +45,23 @@
         }
     }
 
-    /// Notes a crash while the request ran there, before the log tells everybody.
+    /// Records that an endpoint crashed while the request ran there, before the log has
+    /// the record.
     pub fn crashed(&mut self, fingerprint: &RequestFingerprint, site: CrashSite) {
-        if self.local.len() >= LOCAL_KEPT && !self.local.contains_key(fingerprint) {
+        if self.local.len() >= MAX_LOCAL_FINGERPRINTS && !self.local.contains_key(fingerprint) {
             self.local.pop_first();
         }
         let lost = self.local.entry(fingerprint.clone()).or_default();
         lost.insert(site);
     }
 
-    /// Notes that the request ran to its end.
+    /// Records that the request was run to its end.
     pub fn cleared(&mut self, fingerprint: &RequestFingerprint) {
         self.local.remove(fingerprint);
     }
 
-    /// The endpoints lost to the request, by the log and by own evidence.
+    /// Returns the crashes of endpoints that ran the request, according to the log and
+    /// this entry's own record.
     pub fn lost(
         &self,
         log: &QuarantineState,
@@ -69,13 +72,13 @@
         lost
     }
 
-    /// The request's standing, by the log and by own evidence.
+    /// Returns the request's status, according to the log and this entry's own record.
     pub fn status(&self, log: &QuarantineState, fingerprint: &RequestFingerprint) -> CrashStatus {
         CrashStatus::with_lost_endpoints(self.lost(log, fingerprint).len())
     }
 
-    /// Where the suspect may run, of the sorted `endpoints` and by the sorted list
-    /// of `entries`, this one included.
+    /// Returns where the suspect may run. Both the `endpoints` and the `entries`, which
+    /// include this one, must be sorted.
     pub fn choose(
         &self,
         fingerprint: &RequestFingerprint,
@@ -85,16 +88,17 @@
         if self.running.values().any(|running| running == fingerprint) {
             return TrialChoice::Wait;
         }
-        let place = entries.iter().position(|entry| *entry == self.instance);
-        let is_own = |number: usize| match place {
+        let own_index = entries.iter().position(|entry| *entry == self.instance);
+        let is_assigned = |index: usize| match own_index {
             None => true,
-            Some(place) if endpoints.len() < entries.len() => place % endpoints.len() == number,
-            Some(place) => number % entries.len() == place,
+            Some(own_index) if endpoints.len() < entries.len() => {
+                own_index % endpoints.len() == index
+            }
+            Some(own_index) => index % entries.len() == own_index,
         };
-        let free = endpoints
-            .iter()
-            .enumerate()
-            .filter(|(number, endpoint)| is_own(*number) && !self.running.contains_key(*endpoint));
+        let free = endpoints.iter().enumerate().filter(|(index, endpoint)| {
+            is_assigned(*index) && !self.running.contains_key(*endpoint)
+        });
         let free: Vec<EndpointId> = free.map(|(_, endpoint)| endpoint.clone()).collect();
         match free.is_empty() {
             true => TrialChoice::Wait,
@@ -102,12 +106,12 @@
         }
     }
 
-    /// A suspect starts on `endpoint`.
+    /// Records that a suspect starts on `endpoint`.
     pub fn begin(&mut self, fingerprint: &RequestFingerprint, endpoint: &EndpointId) {
         self.running.insert(endpoint.clone(), fingerprint.clone());
     }
 
-    /// A suspect no longer runs on `endpoint`.
+    /// Records that a suspect no longer runs on `endpoint`.
     pub fn end(&mut self, endpoint: &EndpointId) {
         self.running.remove(endpoint);
     }
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! A request that kills, and the bystanders of its crashes.
+//! Quarantine of a request that crashes endpoints, without harm to the requests that
+//! ran beside it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn two_lost_endpoints_condemn_and_a_second_word_of_one_does_not() {
+fn two_lost_endpoints_quarantine_and_a_second_report_of_one_does_not() {
     let mut state = QuarantineState::new();
     state.apply(NOW, LogOffset::new(1), &crash("x", 1, 7));
     state.apply(NOW, LogOffset::new(2), &crash("x", 1, 7));
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded_by_the_log_alone() {
+fn histories_are_limited_in_number_and_age_by_log_offset() {
     let mut state = QuarantineState::new();
     for number in 0..MAX_FINGERPRINTS + 10 {
         let offset = LogOffset::new(number as u64);
@@ -65,8 +66,8 @@
         restored.restore(NOW, &item);
     }
     assert_eq!(restored, state);
-    let late = LogOffset::new(RETENTION_RECORDS + 20_000);
-    state.apply(NOW, late, &crash("y", 1, 1));
+    let after_retention = LogOffset::new(RETENTION_RECORDS + 20_000);
+    state.apply(NOW, after_retention, &crash("y", 1, 1));
     assert_eq!(state.status(&fingerprint("x1000")), CrashStatus::Clean);
 }
 
@@ -74,32 +75,32 @@
 const ENTRIES: usize = 3;
 const REQUESTS: usize = 24;
 
-/// A request in the random world. Its caller sends it until it has ended or was
-/// refused for good.
+/// A request of the simulation. Its caller sends it until it has ended or is
+/// quarantined.
 #[derive(Clone, Debug)]
-struct WorldRequest {
+struct SimulatedRequest {
     fingerprint: RequestFingerprint,
-    kills: bool,
-    running: Option<RunningPlace>,
+    is_harmful: bool,
+    running: Option<RunLocation>,
     ended: bool,
     quarantined: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct RunningPlace {
+struct RunLocation {
     endpoint: usize,
     entry: usize,
 }
 
 /// Entries, endpoints and requests that take random steps.
-struct CrashWorld {
+struct Simulation {
     random: ChaCha8Rng,
     log: QuarantineState,
     offset: u64,
     incarnations: [u64; ENDPOINTS],
     trials: Vec<CrashTrials>,
-    requests: Vec<WorldRequest>,
-    killed: usize,
+    requests: Vec<SimulatedRequest>,
+    crash_count: usize,
 }
 
 fn entries() -> Vec<InstanceId> {
@@ -107,23 +108,23 @@
     (0..ENTRIES).map(entry).collect()
 }
 
-impl CrashWorld {
-    fn new(seed: u64) -> CrashWorld {
-        let request = |number: usize| WorldRequest {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        let request = |number: usize| SimulatedRequest {
             fingerprint: fingerprint(&number.to_string()),
-            kills: number == 0,
+            is_harmful: number == 0,
             running: None,
             ended: false,
             quarantined: false,
         };
-        CrashWorld {
+        Simulation {
             random: ChaCha8Rng::seed_from_u64(seed),
             log: QuarantineState::new(),
             offset: 0,
             incarnations: [1; ENDPOINTS],
             trials: entries().into_iter().map(CrashTrials::new).collect(),
             requests: (0..REQUESTS).map(request).collect(),
-            killed: 0,
+            crash_count: 0,
         }
     }
 
@@ -137,8 +138,8 @@
         let request = self.requests[number].clone();
         match request.running {
             None if !request.ended && !request.quarantined => self.send(number),
-            Some(place) if request.kills => self.crash(place.endpoint),
-            Some(place) if self.random.random_bool(0.3) => self.finish(number, place),
+            Some(location) if request.is_harmful => self.crash(location.endpoint),
+            Some(location) if self.random.random_bool(0.3) => self.finish(number, location),
             _ => {}
         }
     }
@@ -146,15 +147,15 @@
     fn send(&mut self, number: usize) {
         let entry = self.random.random_range(0..ENTRIES);
         let fingerprint = self.requests[number].fingerprint.clone();
-        let all: Vec<EndpointId> = (0..ENDPOINTS).map(endpoint).collect();
+        let endpoints: Vec<EndpointId> = (0..ENDPOINTS).map(endpoint).collect();
         let trials = &mut self.trials[entry];
         let chosen = match trials.status(&self.log, &fingerprint) {
             CrashStatus::Quarantined => {
                 self.requests[number].quarantined = true;
                 return;
             }
-            CrashStatus::Clean => all.choose(&mut self.random).cloned(),
-            CrashStatus::Suspect => match trials.choose(&fingerprint, &all, &entries()) {
+            CrashStatus::Clean => endpoints.choose(&mut self.random).cloned(),
+            CrashStatus::Suspect => match trials.choose(&fingerprint, &endpoints, &entries()) {
                 TrialChoice::Wait => None,
                 TrialChoice::AnyOf(free) => {
                     trials.begin(&fingerprint, &free[0]);
@@ -163,17 +164,21 @@
             },
         };
         let Some(chosen) = chosen else { return };
-        let endpoint = all.iter().position(|endpoint| *endpoint == chosen).unwrap();
-        self.requests[number].running = Some(RunningPlace { endpoint, entry });
+        let endpoint = endpoints
+            .iter()
+            .position(|endpoint| *endpoint == chosen)
+            .unwrap();
+        self.requests[number].running = Some(RunLocation { endpoint, entry });
     }
 
-    /// Everything on the endpoint is lost, and the endpoint starts again.
+    /// Crashes an endpoint: all requests on it are lost, and the endpoint starts again.
     fn crash(&mut self, lost: usize) {
-        self.killed += 1;
+        self.crash_count += 1;
         let incarnation = self.incarnations[lost];
         self.incarnations[lost] += 1;
         for number in 0..REQUESTS {
-            let Some(place) = self.requests[number].running.filter(|p| p.endpoint == lost) else {
+            let Some(location) = self.requests[number].running.filter(|p| p.endpoint == lost)
+            else {
                 continue;
             };
             self.requests[number].running = None;
@@ -182,56 +187,56 @@
                 endpoint: endpoint(lost),
                 incarnation,
             };
-            self.trials[place.entry].end(&endpoint(lost));
-            self.trials[place.entry].crashed(&fingerprint, site);
+            self.trials[location.entry].end(&endpoint(lost));
+            self.trials[location.entry].crashed(&fingerprint, site);
             self.append(&crash(&number.to_string(), lost, incarnation));
         }
     }
 
-    fn finish(&mut self, number: usize, place: RunningPlace) {
+    fn finish(&mut self, number: usize, location: RunLocation) {
         let request = &mut self.requests[number];
         request.running = None;
         request.ended = true;
         let fingerprint = request.fingerprint.clone();
-        let trials = &mut self.trials[place.entry];
+        let trials = &mut self.trials[location.entry];
         if trials.status(&self.log, &fingerprint) == CrashStatus::Suspect {
-            trials.end(&endpoint(place.endpoint));
+            trials.end(&endpoint(location.endpoint));
             trials.cleared(&fingerprint);
-            let mut record = crash(&number.to_string(), place.endpoint, 0);
+            let mut record = crash(&number.to_string(), location.endpoint, 0);
             record.cleared = true;
             self.append(&record);
         }
     }
 }
 
-/// One kiosk sends a request that crashes every engine that runs it, again and
-/// again and to any entry, among others' harmless requests. It may cost two
-/// engines, and everybody else must be served in the end.
+/// One caller repeatedly sends a request that crashes every engine that runs it to any
+/// of the entries, among harmless requests of other callers. It may cost two engines,
+/// and all other requests must complete in the end.
 #[test]
-fn a_killer_costs_two_endpoints_and_its_bystanders_are_served() {
+fn a_harmful_request_costs_two_endpoints_and_all_others_complete() {
     let seeds: u64 = std::env::var("BLUEBELL_SEEDS").map_or(300, |n| n.parse().unwrap());
     for seed in 0..seeds {
-        let mut world = CrashWorld::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..4_000 {
-            world.step();
+            simulation.step();
         }
-        assert_eq!(world.killed, 2, "seed {seed}");
-        for request in &world.requests {
-            assert_eq!(request.quarantined, request.kills, "seed {seed}");
-            assert_eq!(request.ended, !request.kills, "seed {seed}");
+        assert_eq!(simulation.crash_count, 2, "seed {seed}");
+        for request in &simulation.requests {
+            assert_eq!(request.quarantined, request.is_harmful, "seed {seed}");
+            assert_eq!(request.ended, !request.is_harmful, "seed {seed}");
         }
     }
 }
 
 #[test]
-fn two_entries_try_suspects_on_different_endpoints() {
-    let all: Vec<EndpointId> = (0..ENDPOINTS).map(endpoint).collect();
+fn two_entries_run_suspects_on_different_endpoints() {
+    let endpoints: Vec<EndpointId> = (0..ENDPOINTS).map(endpoint).collect();
     let mut owners: BTreeMap<EndpointId, InstanceId> = BTreeMap::new();
     for entry in entries() {
         let trials = CrashTrials::new(entry.clone());
-        let choice = trials.choose(&fingerprint("x"), &all, &entries());
+        let choice = trials.choose(&fingerprint("x"), &endpoints, &entries());
         let TrialChoice::AnyOf(free) = choice else {
-            panic!("nothing runs yet");
+            panic!("no suspect runs yet");
         };
         for endpoint in free {
             assert_eq!(owners.insert(endpoint, entry.clone()), None);
@@ -239,7 +244,7 @@
     }
     let owned: BTreeSet<&EndpointId> = owners.keys().collect();
     assert_eq!(owned.len(), ENDPOINTS);
-    let few = &all[..2];
+    let few = &endpoints[..2];
     let last = CrashTrials::new(entries()[2].clone());
     let choice = last.choose(&fingerprint("x"), few, &entries());
     assert_eq!(choice, TrialChoice::AnyOf(vec![endpoint(0)]));
