--- a/crates/core/src/admission/messages.rs
+++ b/crates/core/src/admission/messages.rs
@@ -37,9 +37,11 @@
     /// Target time from a request's start to its first token.
     pub start_target: TimeSpan,
     /// Minimum `Retry-After`.
-    pub least_retry_after: TimeSpan,
+    #[serde(rename = "least_retry_after")]
+    pub min_retry_after: TimeSpan,
     /// Maximum `Retry-After`.
-    pub most_retry_after: TimeSpan,
+    #[serde(rename = "most_retry_after")]
+    pub max_retry_after: TimeSpan,
     /// The limits of organisations without limits of their own.
     pub default_limits: OrganisationLimits,
 }
@@ -51,8 +53,8 @@
             deferrable_handicap: TokenCount::new(4_000),
             debt_limit: TokenCount::new(200_000),
             start_target: TimeSpan::from_millis(300),
-            least_retry_after: TimeSpan::from_secs(1),
-            most_retry_after: TimeSpan::from_secs(60),
+            min_retry_after: TimeSpan::from_secs(1),
+            max_retry_after: TimeSpan::from_secs(60),
             default_limits: OrganisationLimits::default(),
         }
     }
--- a/crates/core/src/admission/pool.rs
+++ b/crates/core/src/admission/pool.rs
@@ -121,8 +121,8 @@
         self.meter.rate()
     }
 
-    /// Returns the estimated time until a request of `organisation` starts that has
-    /// requests of cost `ahead` of the same organisation before it. The organisation's
+    /// Returns the estimated wait of a request of `organisation` that is queued behind
+    /// requests of the same organisation with the total cost `ahead`. The organisation's
     /// share of the rate processes that cost and the organisation's debt; the wait is
     /// never longer than the time that the whole queue takes.
     pub fn wait(
--- a/crates/core/src/admission/queue/refusals.rs
+++ b/crates/core/src/admission/queue/refusals.rs
@@ -31,7 +31,7 @@
             .get(&admission.pool)
             .filter(|p| p.capacity.slots > 0)
         else {
-            return Err((RefuseReason::NoCapacity, self.settings.least_retry_after));
+            return Err((RefuseReason::NoCapacity, self.settings.min_retry_after));
         };
         let position = (admission.deadline, self.next_sequence);
         let cost_ahead = pool.cost_ahead(&admission.organisation, admission.priority, position);
@@ -109,8 +109,8 @@
         reason: RefuseReason,
         wait: TimeSpan,
     ) -> AdmissionAction {
-        let min_retry_after = self.settings.least_retry_after;
-        let max_retry_after = self.settings.most_retry_after;
+        let min_retry_after = self.settings.min_retry_after;
+        let max_retry_after = self.settings.max_retry_after;
         let base_ms = wait.max(min_retry_after).as_millis();
         let jitter_ms = self.random.random_range(0..=base_ms / 2);
         let retry_after = TimeSpan::from_millis(base_ms + jitter_ms).min(max_retry_after);
--- a/crates/core/src/admission/queue/shares.rs
+++ b/crates/core/src/admission/queue/shares.rs
@@ -53,7 +53,7 @@
     }
 
     /// Removes a peer that is no longer registered.
-    pub fn forget_peer(&mut self, peer: &InstanceId) {
+    pub fn remove_peer(&mut self, peer: &InstanceId) {
         self.last_peer_reports.remove(peer);
     }
 
--- a/crates/core/src/placement/engine.rs
+++ b/crates/core/src/placement/engine.rs
@@ -186,7 +186,7 @@
     /// The engine is excluded from selection until then, as it refused a request of
     /// this or another entry.
     excluded_until: ClockTime,
-    /// The part of that time that results from refusals of this entry's own requests.
+    /// Until when the engine is excluded because it refused requests of this entry.
     local_refusal_until: ClockTime,
     /// Number of consecutive refusals.
     consecutive_refusals: u32,
@@ -319,7 +319,7 @@
     /// Removes an engine that is no longer registered.
     pub fn remove_engine(&mut self, id: &EndpointId) {
         if let Some(state) = self.engines.remove(id) {
-            self.part_locations.forget_engine(state.number);
+            self.part_locations.remove_engine(state.number);
             self.by_hash.remove(&state.hash);
         }
     }
--- a/crates/core/src/placement/parts.rs
+++ b/crates/core/src/placement/parts.rs
@@ -71,7 +71,7 @@
     }
 
     /// Removes all records of an engine, as it has lost its memory.
-    pub fn forget_engine(&mut self, engine: u32) {
+    pub fn remove_engine(&mut self, engine: u32) {
         for locations in self.locations.values_mut() {
             locations.retain(|location| location.engine != engine);
         }
--- a/crates/core/src/placement/replicas.rs
+++ b/crates/core/src/placement/replicas.rs
@@ -166,7 +166,7 @@
     }
 
     /// Removes a replica that is no longer registered.
-    pub fn forget(&mut self, endpoint: &EndpointId) {
+    pub fn remove(&mut self, endpoint: &EndpointId) {
         self.replicas.remove(endpoint);
     }
 }
--- a/crates/entry/src/traffic_feed.rs
+++ b/crates/entry/src/traffic_feed.rs
@@ -152,7 +152,7 @@
     let mut state = context.traffic.lock();
     for gone in memory.peers.difference(&known) {
         state.router.forget_peer(gone);
-        state.queue.forget_peer(gone);
+        state.queue.remove_peer(gone);
     }
     memory
         .peer_shares
--- a/crates/ingress/src/believe/endpoints.rs
+++ b/crates/ingress/src/believe/endpoints.rs
@@ -270,7 +270,7 @@
         return;
     }
     context.engines.lock().remove_engine(id);
-    context.replicas.lock().forget(id);
+    context.replicas.lock().remove(id);
     context.pools.forget(id);
 }
 
