--- a/crates/ingress/src/sync/endpoints.rs
+++ b/crates/ingress/src/sync/endpoints.rs
@@ -280,7 +280,7 @@
         return;
     }
     context.engines.lock().remove_engine(id);
-    context.replicas.lock().forget(id);
+    context.replicas.lock().remove(id);
     context.pools.remove_endpoint(id);
 }
 
