--- a/crates/core/src/retries/arrivals.rs
+++ b/crates/core/src/retries/arrivals.rs
@@ -1,56 +1,57 @@
-//! What one request's calls to engines cost of the budget of repeats.
+//! Counts the arrivals of one request at engines against the retry budget.
 //!
-//! The operators count every arrival at an engine beyond the first of a request,
-//! also those that the engine rejects. Only the first prefill that an engine carries
-//! out is free. Whether a prefill will be rejected is known too late to ask for budget
-//! first; so what a rejection costs is paid before the request goes on. A request
-//! that can't pay ends where it stands, with one arrival, which is none too many.
-//! Were rejections counted only afterwards, a wrong picture of the engines' stages
-//! would let all entries together overdraw the budget within a second.
+//! The operators count each arrival at an engine beyond the first of a request as a
+//! retry, including those that the engine rejects. Only the first prefill that an
+//! engine carries out is not counted. Whether an engine rejects a prefill is known too
+//! late to take budget before sending it, so the budget for a rejected arrival is taken
+//! before the next call of the request. A request that gets no budget ends at this
+//! point, with a single arrival, which is within the limit. If rejections were counted
+//! only afterwards, outdated knowledge of the stages of the engines would let all
+//! entries together exceed the budget within a second.
 
-/// A call that was sent to an engine, by what the operators make of it.
+/// How a call that reached an engine counts for the operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineArrival {
     /// A prefill that the engine carried out.
     PrefillDone,
-    /// A prefill that it rejected, or whose answer was lost, or a run.
+    /// A prefill that the engine rejected or whose answer was lost, or a run.
     Counted,
 }
 
-/// The arrivals of one request and what was paid for them.
+/// Arrivals of one request at engines and the retries granted for them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestArrivals {
     counted: u32,
-    paid: u32,
+    granted: u32,
     has_prefilled: bool,
 }
 
 impl RequestArrivals {
-    /// Nothing sent.
+    /// A request without arrivals.
     pub fn new() -> RequestArrivals {
         RequestArrivals::default()
     }
 
-    /// Whether one repeat has to be paid for before the next call.
+    /// Whether a retry has to be granted before the next call.
     pub fn needs_grant(&self) -> bool {
-        self.counted > self.paid
+        self.counted > self.granted
     }
 
-    /// One repeat was paid for.
+    /// Records that a retry was granted by the budget.
     pub fn note_grant(&mut self) {
-        self.paid += 1;
+        self.granted += 1;
     }
 
-    /// A call reached an engine.
+    /// Records a call that reached an engine.
     pub fn note_arrival(&mut self, arrival: EngineArrival) {
-        let is_free = arrival == EngineArrival::PrefillDone && !self.has_prefilled;
+        let is_uncounted = arrival == EngineArrival::PrefillDone && !self.has_prefilled;
         self.has_prefilled |= arrival == EngineArrival::PrefillDone;
-        self.counted += u32::from(!is_free);
+        self.counted += u32::from(!is_uncounted);
     }
 
-    /// How many repeats were paid for and not used, now that the request sends
-    /// nothing more.
+    /// Number of granted retries that were not used. To be called when the request
+    /// sends nothing more.
     pub fn unused_grants(&self) -> u32 {
-        self.paid.saturating_sub(self.counted.saturating_sub(1))
+        self.granted.saturating_sub(self.counted.saturating_sub(1))
     }
 }
--- a/crates/core/src/retries/mod.rs
+++ b/crates/core/src/retries/mod.rs
@@ -1,12 +1,13 @@
-//! Budgets that keep retries from outliving their cause.
+//! Retry budgets, which prevent retries from prolonging an overload.
 //!
-//! When endpoints slow down, every caller's attempt fails and is sent again;
-//! with three attempts each, a pool that lacks a tenth of its capacity gets
-//! three times its load and stays down after the cause is gone. So retries are
-//! paid for by requests that succeed: an organisation's budget grows by a share
-//! of those and by a small minimum rate, and a retry without budget is refused
-//! at once. One notices a storm by attempts far above requests; with
-//! the budget they can't exceed them by more than the share and the minimum.
+//! When endpoints slow down, attempts of all callers fail and are sent again. With
+//! three attempts each, a pool that lacks a tenth of its capacity receives three times
+//! its load and stays overloaded after the cause has passed. Retries are therefore
+//! limited by a budget: the budget of an organisation grows with a share of its
+//! successful requests and at a small minimum rate, and a retry that exceeds the budget
+//! is refused immediately. A retry storm shows in a number of attempts far above the
+//! number of requests; with the budget, attempts exceed requests by the share and the
+//! minimum at most.
 
 mod arrivals;
 mod shared;
@@ -26,24 +27,24 @@
     ids::OrganisationId,
 };
 
-/// Budget units for one retry.
-const RETRY_UNITS: u64 = 1_000;
+/// Budget units that one retry costs.
+const UNITS_PER_RETRY: u64 = 1_000;
 
-/// How retries are paid for.
+/// Settings of the retry budgets and of the backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RetrySettings {
-    /// Retries for every hundred requests that succeed.
+    /// Retries that are granted per hundred successful requests.
     pub share: u32,
-    /// Retries in ten seconds that an organisation always has.
+    /// Retries per ten seconds that each organisation is always granted.
     pub minimum: u32,
-    /// The most retries that can be saved up.
+    /// Maximum number of retries that a budget accumulates.
     pub most: u32,
-    /// The most attempts of one request.
+    /// Maximum number of attempts per request.
     pub attempts: u32,
-    /// The wait before the second attempt, at most; it doubles for each next.
+    /// Maximum wait before the second attempt; it doubles for each further attempt.
     pub first_backoff: TimeSpan,
-    /// The longest wait before an attempt.
+    /// Maximum wait before any attempt.
     pub most_backoff: TimeSpan,
 }
 
@@ -60,20 +61,20 @@
     }
 }
 
-/// Whether a failed attempt may be followed by another.
+/// Decision whether a failed attempt is retried.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "snake_case")]
 pub enum RetryDecision {
-    /// Yes, after a wait.
+    /// The request is retried after a wait.
     Retry {
-        /// How long to wait first.
+        /// Time to wait before the retry.
         after: TimeSpan,
-        /// Why, for the journal.
+        /// Reason for the decision, for log events.
         reason: String,
     },
-    /// No: the caller gets a final answer now.
+    /// The request is not retried; its caller gets a final answer now.
     GiveUp {
-        /// Why, for the journal.
+        /// Reason for the decision, for log events.
         reason: String,
     },
 }
@@ -81,12 +82,12 @@
 #[derive(Clone, Copy, Debug)]
 struct BudgetState {
     units: u64,
-    /// What requests earned and failures have not given back.
+    /// Units that were added for requests and not taken back for failed ones.
     earned: u64,
     refilled_at: ClockTime,
 }
 
-/// The retry budgets of all organisations at one entry.
+/// Retry budgets of all organisations at one entry.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
@@ -95,7 +96,7 @@
 }
 
 impl RetryBudget {
-    /// Everybody has the minimum.
+    /// Creates the budgets; each organisation starts with the minimum.
     pub fn new(settings: RetrySettings) -> RetryBudget {
         RetryBudget {
             settings,
@@ -104,24 +105,24 @@
         }
     }
 
-    /// Draws the jitter of waits from `seed`.
+    /// Sets the seed of the jitter of waits.
     pub fn with_seed(mut self, seed: u64) -> RetryBudget {
         self.random = ChaCha8Rng::seed_from_u64(seed);
         self
     }
 
-    /// A request's first attempt is sent: it pays for a share of a retry, unless
-    /// it fails.
+    /// Records the first attempt of a request, which adds a share of a retry to the
+    /// budget. The share is taken back if an attempt of the request fails.
     pub fn note_request(&mut self, now: ClockTime, organisation: &OrganisationId) {
         let earned = self.earned();
-        let most = RETRY_UNITS * u64::from(self.settings.most);
+        let max_units = UNITS_PER_RETRY * u64::from(self.settings.most);
         let budget = self.refilled(now, organisation);
-        budget.units = (budget.units + earned).min(most);
-        budget.earned = (budget.earned + earned).min(most);
+        budget.units = (budget.units + earned).min(max_units);
+        budget.earned = (budget.earned + earned).min(max_units);
     }
 
-    /// Attempt number `failed` (from 1) of a repeatable request failed. A retry
-    /// is paid for here and now.
+    /// Decides whether a repeatable request is retried after the failure of its attempt
+    /// number `failed` (from 1). If it is, the retry is charged to the budget.
     pub fn try_retry(
         &mut self,
         now: ClockTime,
@@ -129,51 +130,52 @@
         failed: u32,
     ) -> RetryDecision {
         if failed >= self.settings.attempts {
-            let reason = format!("{failed} attempts failed, the most that are made");
+            let reason = format!("{failed} attempts failed, the maximum per request");
             return RetryDecision::GiveUp { reason };
         }
         let earned = self.earned();
         let budget = self.refilled(now, organisation);
-        // A request that fails gives back what it earned: in an outage nothing is
-        // earned, and a pool that has just come back isn't met by retries.
-        let returned = earned.min(budget.earned);
-        budget.earned -= returned;
-        budget.units = budget.units.saturating_sub(returned);
-        if budget.units < RETRY_UNITS {
-            let reason = format!("the retry budget of `{organisation}` is used up");
+        // The failure takes back the share that the request added. In an outage the
+        // budget therefore doesn't grow, and a pool that has just recovered doesn't
+        // receive a burst of retries.
+        let taken_back = earned.min(budget.earned);
+        budget.earned -= taken_back;
+        budget.units = budget.units.saturating_sub(taken_back);
+        if budget.units < UNITS_PER_RETRY {
+            let reason = format!("the retry budget of `{organisation}` is exhausted");
             return RetryDecision::GiveUp { reason };
         }
-        budget.units -= RETRY_UNITS;
-        let left = budget.units / RETRY_UNITS;
+        budget.units -= UNITS_PER_RETRY;
+        let remaining = budget.units / UNITS_PER_RETRY;
         let after = self.backoff(failed);
-        let reason = format!("`{organisation}` has {left} more retries");
+        let reason = format!("`{organisation}` has {remaining} retries left");
         RetryDecision::Retry { after, reason }
     }
 
-    /// Retries that the organisation could make now.
-    pub fn left(&mut self, now: ClockTime, organisation: &OrganisationId) -> u64 {
-        self.refilled(now, organisation).units / RETRY_UNITS
+    /// Number of retries that the organisation could make now.
+    pub fn remaining(&mut self, now: ClockTime, organisation: &OrganisationId) -> u64 {
+        self.refilled(now, organisation).units / UNITS_PER_RETRY
     }
 
-    /// Forgets organisations that have not sent for `idle`.
+    /// Removes the budgets of organisations that have sent nothing for `idle`.
     pub fn sweep(&mut self, now: ClockTime, idle: TimeSpan) {
         self.budgets
             .retain(|_, budget| now.since(budget.refilled_at) < idle);
     }
 
     fn earned(&self) -> u64 {
-        RETRY_UNITS * u64::from(self.settings.share) / 100
+        UNITS_PER_RETRY * u64::from(self.settings.share) / 100
     }
 
     fn refilled(&mut self, now: ClockTime, organisation: &OrganisationId) -> &mut BudgetState {
-        let minimum = RETRY_UNITS * u64::from(self.settings.minimum);
+        let minimum = UNITS_PER_RETRY * u64::from(self.settings.minimum);
         if !self.budgets.contains_key(organisation) {
-            let fresh = BudgetState {
+            let initial = BudgetState {
                 units: minimum,
                 earned: 0,
                 refilled_at: now,
             };
-            self.budgets.insert(organisation.clone(), fresh);
+            self.budgets.insert(organisation.clone(), initial);
         }
         let budget = self
             .budgets
@@ -182,7 +184,8 @@
         let elapsed = now.since(budget.refilled_at).as_millis();
         let refill = minimum * elapsed / 10_000;
         if refill > 0 || minimum == 0 {
-            // The minimum only fills up to itself; more is paid for by requests.
+            // The minimum rate fills the budget only up to the minimum; anything above
+            // is added by requests.
             budget.units = budget.units.max((budget.units + refill).min(minimum));
             budget.refilled_at = now;
         }
@@ -194,7 +197,7 @@
             .settings
             .first_backoff
             .times(1 << failed.saturating_sub(1).min(16));
-        let most = doubled.min(self.settings.most_backoff).as_millis().max(1);
-        TimeSpan::from_millis(self.random.random_range(most / 2..=most))
+        let max_ms = doubled.min(self.settings.most_backoff).as_millis().max(1);
+        TimeSpan::from_millis(self.random.random_range(max_ms / 2..=max_ms))
     }
 }
--- a/crates/core/src/retries/shared.rs
+++ b/crates/core/src/retries/shared.rs
@@ -1,9 +1,9 @@
-//! The budget for repeats that all entries share, kept without talk.
+//! The retry budget that the entries of a fleet share without communication.
 //!
-//! The operators allow a share of a service's requests, and some more, to be
-//! sent a second time in any window. Each entry pays its repeats from its own
-//! requests, so the sum keeps to the share whatever the others do; the extra is
-//! divided among all entries that are known.
+//! The operators allow a share of the requests of a service, plus a fixed extra, to be
+//! sent a second time in any window. Each entry limits its retries to the share of its
+//! own requests, so the sum over all entries stays within the share independently of
+//! the others. The extra is divided among all known entries.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,21 +12,22 @@
     ids::ServiceName,
 };
 
-/// The parts that a window is counted in.
-const SLICES: u64 = 10;
+/// Number of slices that a window is counted in.
+const SLICES_PER_WINDOW: u64 = 10;
 
-/// How much of the share is used: counts of the operators' side are of other
-/// windows than ours.
-const SHARE_USED: f64 = 0.8;
+/// Part of the share that is used. The operators count in windows that are not aligned
+/// with those of the entries, so using all of it could exceed the limit in one of
+/// theirs.
+const USED_SHARE: f64 = 0.8;
 
-/// What operators allow.
+/// Limit that the operators set on retries of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryAllowance {
-    /// Repeats for each request.
+    /// Retries per request.
     pub share: f64,
-    /// Repeats beside that in a window that this entry may use.
+    /// Additional retries per window that this entry may use.
     pub extra: f64,
-    /// The window.
+    /// Length of the window.
     pub window: TimeSpan,
 }
 
@@ -34,10 +35,10 @@
 struct WindowSlice {
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// The repeats of one entry, by service.
+/// Retry budget of one entry, by service.
 #[derive(Clone, Debug)]
 pub struct SharedRetryBudget {
     allowance: RetryAllowance,
@@ -45,7 +46,7 @@
 }
 
 impl SharedRetryBudget {
-    /// Nothing sent yet.
+    /// Creates a budget without any requests.
     pub fn new(allowance: RetryAllowance) -> SharedRetryBudget {
         SharedRetryBudget {
             allowance,
@@ -53,17 +54,18 @@
         }
     }
 
-    /// Sets this entry's part of the repeats beside the share.
+    /// Sets the additional retries per window that this entry may use.
     pub fn set_extra(&mut self, extra: f64) {
         self.allowance.extra = extra;
     }
 
-    /// A request for the service came in.
+    /// Records a request for the service.
     pub fn note_request(&mut self, now: ClockTime, service: &ServiceName) {
         self.slice(now, service).requests += 1;
     }
 
-    /// Asks to send a request to the service once more; it is counted if allowed.
+    /// Returns whether a request to the service may be sent once more. If so, the retry
+    /// is counted.
     pub fn try_retry(&mut self, now: ClockTime, service: &ServiceName) -> bool {
         let allowance = self.allowance;
         self.slice(now, service);
@@ -71,23 +73,24 @@
             return false;
         };
         let requests: u32 = slices.iter().map(|slice| slice.requests).sum();
-        let repeats: u32 = slices.iter().map(|slice| slice.repeats).sum();
-        let allowed = SHARE_USED * allowance.share * f64::from(requests) + allowance.extra;
-        if f64::from(repeats) + 1.0 > allowed {
+        let retries: u32 = slices.iter().map(|slice| slice.retries).sum();
+        let allowed = USED_SHARE * allowance.share * f64::from(requests) + allowance.extra;
+        if f64::from(retries) + 1.0 > allowed {
             return false;
         }
-        self.slice(now, service).repeats += 1;
+        self.slice(now, service).retries += 1;
         true
     }
 
-    /// Repeats that were allowed never left: the service has not seen them.
-    pub fn return_unsent(&mut self, now: ClockTime, service: &ServiceName, repeats: u32) {
+    /// Returns retries to the budget that were granted but not sent: the service has
+    /// not seen them.
+    pub fn return_unsent(&mut self, now: ClockTime, service: &ServiceName, retries: u32) {
         let slice = self.slice(now, service);
-        slice.repeats = slice.repeats.saturating_sub(repeats);
+        slice.retries = slice.retries.saturating_sub(retries);
     }
 
     fn slice(&mut self, now: ClockTime, service: &ServiceName) -> &mut WindowSlice {
-        let length = (self.allowance.window.as_millis() / SLICES).max(1);
+        let length = (self.allowance.window.as_millis() / SLICES_PER_WINDOW).max(1);
         let number = now.as_millis() / length;
         if !self.services.contains_key(service) {
             self.services.insert(service.clone(), VecDeque::new());
@@ -96,7 +99,10 @@
             .services
             .get_mut(service)
             .expect("it was just inserted");
-        while slices.front().is_some_and(|s| s.number + SLICES < number) {
+        while slices
+            .front()
+            .is_some_and(|s| s.number + SLICES_PER_WINDOW < number)
+        {
             slices.pop_front();
         }
         if slices.back().is_none_or(|slice| slice.number != number) {
--- a/crates/core/src/routing/messages.rs
+++ b/crates/core/src/routing/messages.rs
@@ -162,7 +162,7 @@
     /// The engine that prefills the prompt first and hands over its KV cache; `None` if
     /// the answering endpoint prefills itself.
     pub prefill: Option<EndpointId>,
-    /// Reason for the selection, for the log.
+    /// Reason for the selection, for log events.
     pub reason: String,
 }
 
--- a/crates/core/tests/retries.rs
+++ b/crates/core/tests/retries.rs
@@ -1,4 +1,4 @@
-//! What retries cost, and when they stop.
+//! Retry budgets of organisations and backoff.
 
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
@@ -14,12 +14,12 @@
     OrganisationId::new(name).expect("valid")
 }
 
-/// All endpoints fail for a minute while an organisation sends 100 requests a
-/// second. Without a budget each is tried three times: the load is threefold
-/// just when the fleet can carry least, and callers notice an outage that goes
-/// on after its cause is gone.
+/// Guards against a retry storm: all endpoints fail for a minute while an organisation
+/// sends 100 requests a second. Without a budget, each request is attempted three
+/// times, so the load triples when the fleet has the least capacity, and the outage
+/// continues after its cause has passed.
 #[test]
-fn retries_in_an_outage_stay_a_share_of_the_requests() {
+fn retries_in_an_outage_are_limited_to_a_share_of_the_requests() {
     let mut budget = RetryBudget::new(RetrySettings::default()).with_seed(1);
     let kiosk = organisation("kiosk");
     let mut retries = 0;
@@ -35,7 +35,8 @@
     assert!((1..=100).contains(&retries), "{retries}");
 }
 
-/// One request in twenty meets a bad endpoint. Those are what retries are for.
+/// Guards against a budget that is too small for isolated failures: one request in
+/// twenty reaches a failing endpoint and has to be retried.
 #[test]
 fn occasional_failures_are_all_retried() {
     let mut budget = RetryBudget::new(RetrySettings::default()).with_seed(1);
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn a_small_organisation_always_has_a_few() {
+fn a_small_organisation_always_has_the_minimum_of_retries() {
     let mut budget = RetryBudget::new(RetrySettings::default()).with_seed(1);
     let small = organisation("small");
     budget.note_request(at(0), &small);
@@ -61,11 +62,11 @@
     }
     let answer = budget.try_retry(at(1), &small, 1);
     assert!(matches!(answer, RetryDecision::GiveUp { .. }), "{answer:?}");
-    assert_eq!(budget.left(at(20_000), &small), 5);
+    assert_eq!(budget.remaining(at(20_000), &small), 5);
 }
 
 #[test]
-fn one_organisation_does_not_spend_anothers_budget() {
+fn organisations_have_separate_budgets() {
     let mut budget = RetryBudget::new(RetrySettings::default()).with_seed(1);
     while let RetryDecision::Retry { .. } = budget.try_retry(at(1), &organisation("a"), 1) {}
     let answer = budget.try_retry(at(1), &organisation("b"), 1);
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn waits_grow_and_differ() {
+fn waits_grow_and_have_jitter() {
     let settings = RetrySettings {
         attempts: 10,
         minimum: 100,
--- a/crates/core/tests/shared_budget.rs
+++ b/crates/core/tests/shared_budget.rs
@@ -1,4 +1,4 @@
-//! The budget for repeats that all entries share.
+//! The retry budget that all entries share.
 
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
@@ -28,20 +28,20 @@
 }
 
 #[test]
-fn repeats_are_paid_for_by_requests() {
-    // All engines fail at once and every request is sent again, and again. Without
-    // a budget the service gets three times its load and stays down.
+fn retries_are_limited_by_requests() {
+    // All engines fail at the same time and each request is sent again repeatedly.
+    // Without a budget, the service receives three times its load and stays overloaded.
     let mut budget = budget(0.0);
     assert!(!budget.try_retry(at(0), &service()));
-    for turn in 0..100 {
-        budget.note_request(at(turn), &service());
+    for step in 0..100 {
+        budget.note_request(at(step), &service());
     }
-    let repeats = (0..100).filter(|_| budget.try_retry(at(100), &service()));
-    assert_eq!(repeats.count(), 16);
+    let retries = (0..100).filter(|_| budget.try_retry(at(100), &service()));
+    assert_eq!(retries.count(), 16);
 }
 
 #[test]
-fn what_was_spent_comes_back_after_the_window() {
+fn the_budget_is_restored_after_the_window() {
     let mut budget = budget(2.0);
     assert!(budget.try_retry(at(0), &service()));
     assert!(budget.try_retry(at(0), &service()));
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn what_a_rejected_prefill_costs_is_paid_before_the_request_goes_on() {
-    // An engine that has changed its stage rejects a prefill, and so does the next.
-    // Each rejection is an arrival; the request that can't pay for it ends there.
+fn a_rejected_prefill_needs_a_grant_before_the_next_call() {
+    // An engine that has changed its stage rejects a prefill, and so does the next one.
+    // Each rejection is an arrival; a request that gets no budget for it ends there.
     let mut budget = budget(1.0);
     let mut arrivals = RequestArrivals::new();
     assert!(!arrivals.needs_grant());
@@ -69,13 +69,13 @@
 }
 
 #[test]
-fn a_prefill_that_was_carried_out_and_its_run_cost_nothing() {
+fn the_first_prefill_and_its_run_need_no_grant() {
     let mut arrivals = RequestArrivals::new();
     arrivals.note_arrival(EngineArrival::PrefillDone);
     assert!(!arrivals.needs_grant());
     arrivals.note_arrival(EngineArrival::Counted);
     assert_eq!(arrivals.unused_grants(), 0);
-    // The run failed; the next prefill is an arrival like any other.
+    // The run failed; the next prefill counts like any other arrival.
     assert!(arrivals.needs_grant());
     arrivals.note_grant();
     arrivals.note_arrival(EngineArrival::PrefillDone);
@@ -83,9 +83,9 @@
 }
 
 #[test]
-fn prefills_whose_answers_are_lost_are_paid_for() {
-    // Engines carry prefills out and their answers are lost on the way, again and
-    // again. Each was an arrival, also if the request never comes to a run.
+fn prefills_whose_answers_are_lost_need_a_grant() {
+    // Engines carry out prefills, but their answers are lost repeatedly. Each was an
+    // arrival, even if the request never reaches its run.
     let mut arrivals = RequestArrivals::new();
     arrivals.note_arrival(EngineArrival::Counted);
     assert!(arrivals.needs_grant());
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn what_was_paid_for_and_never_left_is_given_back() {
+fn unused_grants_are_counted() {
     let mut arrivals = RequestArrivals::new();
     arrivals.note_arrival(EngineArrival::Counted);
     arrivals.note_grant();
@@ -106,11 +106,12 @@
 }
 
 #[test]
-fn eighty_entries_with_a_wrong_picture_of_the_stages_keep_the_budget_together() {
-    // A fleet has just changed the stages of its engines and no entry has heard of
-    // it: four engines in a row turn each request away within 50 ms, at all entries.
-    // Without paying for rejections first, the entries send a quarter more arrivals
-    // than the operators allow, and callers wait behind engines that turn away.
+fn eighty_entries_with_outdated_stages_stay_within_the_shared_budget() {
+    // A fleet has just changed the stages of its engines and no entry has received the
+    // update: at all entries, four engines in a row reject each request within 50 ms.
+    // If budget were not taken before the next call, the entries would send a quarter
+    // more arrivals than the operators allow, and callers would wait behind engines
+    // that reject requests.
     const ENTRIES: usize = 80;
     const REQUESTS: usize = 6_000;
     const REJECTIONS: usize = 4;
@@ -118,7 +119,7 @@
     let mut budgets: Vec<SharedRetryBudget> = (0..ENTRIES)
         .map(|_| budget(LARGE_EXTRA / ENTRIES as f64))
         .collect();
-    let mut beyond_first = 0;
+    let mut counted = 0;
     for number in 0..REQUESTS {
         let now = at(number as u64 * WINDOW / REQUESTS as u64);
         let budget = &mut budgets[number % ENTRIES];
@@ -141,17 +142,17 @@
             sent += usize::from(arrival != EngineArrival::PrefillDone);
         }
         budget.return_unsent(now, &service(), arrivals.unused_grants());
-        beyond_first += sent.saturating_sub(1);
+        counted += sent.saturating_sub(1);
     }
     let allowed = SHARE * REQUESTS as f64 + LARGE_EXTRA;
     assert!(
-        beyond_first as f64 <= allowed,
-        "{beyond_first} of {allowed}"
+        counted as f64 <= allowed,
+        "{counted} counted arrivals, {allowed} allowed"
     );
 }
 
 #[test]
-fn services_don_t_pay_for_each_other() {
+fn services_have_separate_budgets() {
     let mut budget = budget(1.0);
     let other = ServiceName::new("till").unwrap();
     assert!(budget.try_retry(at(0), &service()));
@@ -160,41 +161,41 @@
 }
 
 quickcheck! {
-    /// However requests and failures come, and however they are spread over the
-    /// entries, no window has more repeats than the operators allow.
-    fn no_window_has_more_repeats_than_allowed(steps: Vec<(u8, u8, bool)>) -> bool {
+    /// No window has more retries than the operators allow, for any sequence of
+    /// requests and failures and any distribution of them over the entries.
+    fn no_window_has_more_retries_than_allowed(steps: Vec<(u8, u8, bool)>) -> bool {
         const ENTRIES: usize = 9;
         let mut budgets: Vec<SharedRetryBudget> =
             (0..ENTRIES).map(|_| budget(EXTRA / ENTRIES as f64)).collect();
-        let (mut now, mut requests, mut repeats) = (0, Vec::new(), Vec::new());
+        let (mut now, mut requests, mut retries) = (0, Vec::new(), Vec::new());
         for (entry, wait, fails) in steps {
             now += u64::from(wait) * 4;
             let budget = &mut budgets[usize::from(entry) % ENTRIES];
             budget.note_request(at(now), &service());
             requests.push(now);
             while fails && budget.try_retry(at(now), &service()) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
         let within = |times: &[u64], from: u64| {
             times.iter().filter(|time| (from..from + WINDOW).contains(time)).count() as f64
         };
-        repeats.iter().all(|from| {
+        retries.iter().all(|from| {
             let before = from.saturating_sub(WINDOW);
-            let asked = within(&requests, *from).max(within(&requests, before));
-            within(&repeats, *from) <= SHARE * asked + EXTRA
+            let requested = within(&requests, *from).max(within(&requests, before));
+            within(&retries, *from) <= SHARE * requested + EXTRA
         })
     }
 }
 
 #[test]
-fn a_repeat_that_never_left_is_given_back() {
-    // The engine that a repeat was meant for has crashed and takes no connection. No
-    // engine has seen the repeat, so the next one must not be refused for it.
+fn an_unsent_retry_is_returned_to_the_budget() {
+    // The engine selected for a retry has crashed and accepts no connections. No engine
+    // has seen the retry, so the next one must not be refused because of it.
     let mut budget = budget(1.0);
-    for turn in 0..5 {
-        assert!(budget.try_retry(at(turn), &service()));
-        budget.return_unsent(at(turn), &service(), 1);
+    for step in 0..5 {
+        assert!(budget.try_retry(at(step), &service()));
+        budget.return_unsent(at(step), &service(), 1);
     }
     assert!(budget.try_retry(at(5), &service()));
     assert!(!budget.try_retry(at(6), &service()));
