--- a/crates/core/src/attempts/answer.rs
+++ b/crates/core/src/attempts/answer.rs
@@ -1,37 +1,40 @@
-//! A model's answer, put together from numbered tokens.
+//! Assembles the answer of a model from numbered tokens.
 //!
-//! Tokens can come late (from an attempt that was given up), crossed (from
-//! another request's answer on a mixed-up connection), doubled or with gaps,
-//! and a connection can end without an end mark. A caller would see somebody
-//! else's words, words twice, or an answer that stops half way and looks whole.
-//! So a token counts only by request, attempt and position, and an answer is
-//! whole only with an end mark whose length is that of what was delivered.
+//! Tokens can arrive late (from an abandoned attempt), crossed (from the answer to
+//! another request on a connection that was mixed up), duplicated or with gaps, and a
+//! connection can end without an end mark. Without checks, a caller could receive the
+//! answer to another request, duplicated text, or an answer that stops half way and
+//! looks complete. A token is therefore accepted only if its request, attempt and
+//! position match, and an answer is complete only after an end mark that states the
+//! number of tokens delivered.
 
 use crate::ids::RequestId;
 
-/// What became of a token.
+/// Result of adding a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenVerdict {
-    /// It is the answer's next one.
+    /// The token is the next one of the answer; it was added.
     Next,
-    /// It belongs elsewhere or came before; it is dropped.
+    /// The token belongs to another request or attempt, or was received before; it is
+    /// dropped.
     Dropped,
-    /// Tokens before it are missing: this attempt can't complete the answer.
+    /// Tokens before this one are missing: the attempt cannot complete the answer.
     Gap,
 }
 
-/// What an end mark means.
+/// Result of an end mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndVerdict {
-    /// The answer is whole.
+    /// The answer is complete.
     Complete,
-    /// It belongs to another request or attempt; it is dropped.
+    /// The end mark belongs to another request or attempt; it is dropped.
     Dropped,
-    /// Its length is not that of what was delivered: this attempt failed.
+    /// The stated length differs from the number of tokens delivered: the attempt
+    /// failed.
     WrongLength,
 }
 
-/// The answer so far.
+/// The part of an answer that was received so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerAssembly {
     request: RequestId,
@@ -41,7 +44,7 @@
 }
 
 impl AnswerAssembly {
-    /// Nothing of the answer to `request` yet.
+    /// Creates an empty answer to `request`.
     pub fn new(request: RequestId) -> AnswerAssembly {
         AnswerAssembly {
             request,
@@ -51,12 +54,12 @@
         }
     }
 
-    /// From now on only items of this attempt count.
+    /// Starts an attempt: from now on only its tokens and end mark are accepted.
     pub fn begin_attempt(&mut self, attempt: u32) {
         self.attempt = attempt;
     }
 
-    /// Takes a token.
+    /// Adds the token at `position` (from 0) of the answer.
     pub fn token(
         &mut self,
         request: &RequestId,
@@ -78,7 +81,7 @@
         TokenVerdict::Next
     }
 
-    /// Takes an end mark.
+    /// Handles an end mark that states the number of tokens in the answer.
     pub fn end(&mut self, request: &RequestId, attempt: u32, length: u64) -> EndVerdict {
         if *request != self.request || attempt != self.attempt || self.complete {
             return EndVerdict::Dropped;
@@ -90,12 +93,12 @@
         EndVerdict::Complete
     }
 
-    /// The tokens so far: what another engine continues from.
+    /// Tokens received so far; another engine continues after them.
     pub fn tokens(&self) -> &[String] {
         &self.tokens
     }
 
-    /// Whether the end mark was there.
+    /// Whether the answer is complete.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
--- a/crates/core/src/attempts/mod.rs
+++ b/crates/core/src/attempts/mod.rs
@@ -1,14 +1,15 @@
-//! One request's attempts: what was sent, and whether it may have run.
+//! Tracks the attempts of one request and whether it may have run.
 //!
-//! A refusal that says "not run" lets its caller send a charge or an unlock
-//! again. If that statement were wrong, the action would happen twice, and
-//! nobody would notice before the dispute. So it is a type, [`NotRun`], that
-//! only [`RequestAttempts`] makes, and only in a state in which no byte left
-//! for an endpoint or every endpoint that got one refused before running.
-//! The other half is [`SendPermit`]: the endpoint client sends nothing without
-//! one, and getting one moves the request out of the states that are not run.
+//! An answer that states "not run" allows its caller to send a charge or an unlock
+//! again. If the statement were wrong, the action would happen twice, and this would go
+//! unnoticed until the customer disputes it. The statement is therefore represented by a
+//! type, [`NotRun`], that only [`RequestAttempts`] creates, and only in a state in
+//! which no byte was sent to an endpoint or each endpoint that received the request
+//! refused it before running it. Its counterpart is [`SendPermit`]: the endpoint client
+//! sends a request only with a permit, and issuing a permit moves the request out of
+//! the states that count as not run.
 //!
-//! [`answer`] puts a model's answer together from numbered tokens.
+//! [`answer`] assembles the answer of a model from numbered tokens.
 
 pub mod answer;
 
@@ -16,23 +17,23 @@
 
 use crate::ids::{EndpointId, RequestId};
 
-/// The proof that a request has not run anywhere.
+/// Proof that a request has not run anywhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotRun {
     _private: (),
 }
 
-/// Whether a request ran, as its caller is told.
+/// Whether a request ran, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It did not, and won't.
+    /// The request did not run and will not run.
     NotRun(NotRun),
-    /// It may have.
+    /// The request may have run.
     Unknown,
 }
 
 impl RunOutcome {
-    /// The outcome as callers read it.
+    /// The outcome as it is written in answers to callers.
     pub const fn as_str(self) -> &'static str {
         match self {
             RunOutcome::NotRun(_) => "not_run",
@@ -41,37 +42,37 @@
     }
 }
 
-/// Whether work may run more than once.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkKind {
-    /// It may be sent again elsewhere.
+    /// The request may be sent again to another endpoint.
     Repeatable,
-    /// It must run at most once.
+    /// The request must run at most once.
     AtMostOnce,
 }
 
-/// Where the current attempt stands.
+/// State of the current attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "phase", rename_all = "snake_case")]
 pub enum AttemptPhase {
-    /// No attempt is under way.
+    /// No attempt is in progress.
     Queued,
-    /// Bytes may have left for the endpoint.
+    /// A permit was issued; bytes may have been sent to the endpoint.
     Sent {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// The endpoint answers.
+    /// The endpoint has started to answer.
     Answering {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Nothing is sent any more.
+    /// The request has ended; no further attempt is allowed.
     Done,
 }
 
-/// The right to send one attempt to one endpoint.
+/// Permission to send one attempt to one endpoint.
 #[derive(Debug, PartialEq, Eq)]
 pub struct SendPermit {
     request: RequestId,
@@ -91,24 +92,24 @@
         self.attempt
     }
 
-    /// The endpoint that it may go to.
+    /// The endpoint that the attempt may be sent to.
     pub fn endpoint(&self) -> &EndpointId {
         &self.endpoint
     }
 
-    /// Whether the work may run more than once.
+    /// Whether the request may run more than once.
     pub fn kind(&self) -> WorkKind {
         self.kind
     }
 }
 
-/// Why nothing may be sent.
+/// The reason why an attempt must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendRefusal {
-    /// An attempt is under way.
-    #[error("an attempt is under way")]
+    /// Another attempt is in progress.
+    #[error("another attempt is in progress")]
     InProgress,
-    /// The request has ended, or ran perhaps and must not run twice.
+    /// The request has ended, or it may have run and must not run twice.
     #[error("the request has ended")]
     Ended,
 }
@@ -124,7 +125,7 @@
 }
 
 impl RequestAttempts {
-    /// A request that has just arrived.
+    /// Creates the state of a request that has just arrived.
     pub fn new(request: RequestId, kind: WorkKind) -> RequestAttempts {
         RequestAttempts {
             request,
@@ -145,12 +146,12 @@
         self.attempt
     }
 
-    /// Where the current attempt stands.
+    /// State of the current attempt.
     pub fn phase(&self) -> &AttemptPhase {
         &self.phase
     }
 
-    /// Asks to send the next attempt to `endpoint`.
+    /// Issues a permit to send the next attempt to `endpoint`.
     pub fn permit_send(&mut self, endpoint: &EndpointId) -> Result<SendPermit, SendRefusal> {
         match self.phase {
             AttemptPhase::Queued => {}
@@ -172,17 +173,19 @@
         })
     }
 
-    /// The permit was not used: no connection came about, so no byte left.
+    /// Takes back a permit that was not used: no connection was established, so no byte
+    /// was sent.
     pub fn not_sent(&mut self, permit: SendPermit) {
-        self.take_back(permit);
+        self.revoke(permit);
     }
 
-    /// The endpoint refused in a way that its interface documents as not run.
+    /// Takes back a permit after the endpoint refused the request in a way that its
+    /// interface documents as not run.
     pub fn refused_before_running(&mut self, permit: SendPermit) {
-        self.take_back(permit);
+        self.revoke(permit);
     }
 
-    fn take_back(&mut self, permit: SendPermit) {
+    fn revoke(&mut self, permit: SendPermit) {
         let current = permit.attempt == self.attempt && permit.request == self.request;
         if current && matches!(self.phase, AttemptPhase::Sent { .. }) {
             self.phase = AttemptPhase::Queued;
@@ -190,7 +193,7 @@
         drop(permit);
     }
 
-    /// The endpoint has begun to answer.
+    /// Records that the endpoint has started to answer.
     pub fn answer_started(&mut self) {
         if let AttemptPhase::Sent { endpoint } = &self.phase {
             let endpoint = endpoint.clone();
@@ -198,8 +201,8 @@
         }
     }
 
-    /// The connection was lost or given up. Repeatable work may be sent again;
-    /// other work has ended, because it may have run.
+    /// Records that the connection was lost or abandoned. A repeatable request may be
+    /// sent again; any other request has ended, because it may have run.
     pub fn connection_lost(&mut self) {
         if !self.is_in_progress() {
             return;
@@ -211,7 +214,7 @@
         };
     }
 
-    /// The answer is whole, or nobody waits for it any more.
+    /// Ends the request: the answer is complete, or the caller no longer waits for it.
     pub fn end(&mut self) {
         self.may_have_run |= self.is_in_progress();
         self.phase = AttemptPhase::Done;
@@ -224,7 +227,7 @@
         )
     }
 
-    /// Whether the request may have run until now.
+    /// Whether the request may have run up to now.
     pub fn outcome(&self) -> RunOutcome {
         if self.may_have_run || self.is_in_progress() {
             return RunOutcome::Unknown;
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What one request's attempts say of whether it ran.
+//! Whether a request may have run, and the assembly of answers.
 
 use bluebell_core::{
     attempts::{
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn work_is_not_run_until_a_byte_may_have_left() {
+fn a_request_counts_as_not_run_until_a_byte_may_have_been_sent() {
     let mut attempts = attempts(WorkKind::AtMostOnce);
     assert!(is_not_run(&attempts));
     let permit = attempts.permit_send(&endpoint()).unwrap();
@@ -38,9 +38,10 @@
     assert!(is_not_run(&attempts));
 }
 
-/// The connection broke after a charge was sent. A second send could charge twice.
+/// Guards against a double charge: the connection is lost after a charge was sent, and
+/// sending it again could charge twice.
 #[test]
-fn lost_work_that_may_not_repeat_has_ended() {
+fn a_lost_request_that_must_not_be_repeated_has_ended() {
     let mut attempts = attempts(WorkKind::AtMostOnce);
     let _permit = attempts.permit_send(&endpoint()).unwrap();
     attempts.connection_lost();
@@ -48,10 +49,11 @@
     assert!(!is_not_run(&attempts));
 }
 
-/// A permit that comes back late (the connection failed only after the attempt was
-/// given up as lost) must not make a sent request "not run" again.
+/// Guards against a late permit: if the connection fails only after the attempt was
+/// abandoned as lost, taking back its permit must not change a sent request to "not
+/// run".
 #[test]
-fn an_old_permit_takes_nothing_back() {
+fn a_permit_of_an_earlier_attempt_changes_nothing() {
     let mut attempts = attempts(WorkKind::Repeatable);
     let old = attempts.permit_send(&endpoint()).unwrap();
     attempts.connection_lost();
@@ -79,17 +81,19 @@
     }
 }
 
-/// Plays the steps against a model that only remembers which permits are out.
+/// Applies the steps and compares the outcome with a model that only tracks which
+/// permits are in use. Returns whether both agree and an at-most-once request was never
+/// sent again after it may have reached an endpoint.
 fn check_steps(kind: WorkKind, steps: &[RandomStep]) -> bool {
     let mut attempts = attempts(kind);
     let mut permit: Option<SendPermit> = None;
-    let mut reached = false;
+    let mut may_have_reached_endpoint = false;
     let mut sends_after_reach = 0;
     for step in steps {
         match step {
             RandomStep::Send => {
                 if let Ok(sent) = attempts.permit_send(&endpoint()) {
-                    sends_after_reach += u64::from(reached);
+                    sends_after_reach += u64::from(may_have_reached_endpoint);
                     permit = Some(sent);
                 }
             }
@@ -102,18 +106,18 @@
             }
             RandomStep::Answering => {
                 attempts.answer_started();
-                reached |= permit.take().is_some();
+                may_have_reached_endpoint |= permit.take().is_some();
             }
             RandomStep::Lost => {
-                reached |= permit.take().is_some();
+                may_have_reached_endpoint |= permit.take().is_some();
                 attempts.connection_lost();
             }
             RandomStep::End => {
-                reached |= permit.take().is_some();
+                may_have_reached_endpoint |= permit.take().is_some();
                 attempts.end();
             }
         }
-        let may_have_run = reached || permit.is_some();
+        let may_have_run = may_have_reached_endpoint || permit.is_some();
         if is_not_run(&attempts) == may_have_run {
             return false;
         }
@@ -122,7 +126,7 @@
 }
 
 #[test]
-fn random_steps_never_make_a_false_not_run() {
+fn random_steps_never_give_a_false_not_run() {
     let seeds: u64 = std::env::var("BLUEBELL_SEEDS").map_or(500, |n| n.parse().unwrap());
     for seed in 0..seeds {
         let mut g = Gen::from_size_and_seed(30, seed);
@@ -133,10 +137,10 @@
     }
 }
 
-/// Late, crossed, doubled and missing items in random order: what was taken is
-/// always the answer's start, and "whole" means all of it.
+/// Late, crossed, duplicated and missing tokens in random order: the accepted tokens
+/// are always the beginning of the answer, and "complete" means all of it.
 #[test]
-fn random_items_never_make_a_wrong_answer() {
+fn random_tokens_never_give_a_wrong_answer() {
     let seeds: u64 = std::env::var("BLUEBELL_SEEDS").map_or(500, |n| n.parse().unwrap());
     let own = RequestId::new("r1").unwrap();
     let other = RequestId::new("r2").unwrap();
@@ -144,21 +148,21 @@
         let mut g = Gen::from_size_and_seed(60, seed);
         let mut answer = AnswerAssembly::new(own.clone());
         answer.begin_attempt(1);
-        for draw in Vec::<(u8, u8)>::arbitrary(&mut g) {
-            let request = if draw.0 % 5 == 0 { &other } else { &own };
-            let attempt = 1 + u32::from(draw.0 % 7 == 0);
+        for item in Vec::<(u8, u8)>::arbitrary(&mut g) {
+            let request = if item.0 % 5 == 0 { &other } else { &own };
+            let attempt = 1 + u32::from(item.0 % 7 == 0);
             let next = answer.tokens().len() as u64;
-            let position = (next + u64::from(draw.1 % 3)).saturating_sub(1);
-            let foreign = request == &other || attempt != 1;
-            let text = if foreign {
+            let position = (next + u64::from(item.1 % 3)).saturating_sub(1);
+            let is_foreign = request == &other || attempt != 1;
+            let text = if is_foreign {
                 "foreign".to_string()
             } else {
                 position.to_string()
             };
-            if draw.1 > 240 {
-                let open = !answer.is_complete() && !foreign;
+            if item.1 > 240 {
+                let is_open = !answer.is_complete() && !is_foreign;
                 let verdict = answer.end(request, attempt, 4);
-                assert_eq!(verdict == EndVerdict::Complete, open && next == 4);
+                assert_eq!(verdict == EndVerdict::Complete, is_open && next == 4);
                 continue;
             }
             let verdict = answer.token(request, attempt, position, &text);
