--- a/crates/core/src/directory/mod.rs
+++ b/crates/core/src/directory/mod.rs
@@ -1,17 +1,17 @@
-//! Which endpoints may get work: their registrations in the store, and what an
-//! outage of the store says and doesn't say about them.
+//! The endpoints that may receive work, from their registrations in the store, and
+//! how outages of the store affect them.
 //!
-//! An endpoint's registration lapses when it falls silent, also when the store
-//! itself was away and heard nobody. An entry that dropped every lapsed endpoint
-//! as the store returns would have nowhere to send its callers' requests until
-//! all had registered again; one that kept them for good would send work to the
-//! dead. So registrations that lapse around an outage are kept for a short time
-//! after the store is back, within which live endpoints register again.
+//! A registration lapses when its endpoint's heartbeats stop, and also when the store
+//! was unavailable and received none. If an entry dropped every lapsed endpoint when
+//! the store recovers, it would have no endpoint for its callers' requests until all
+//! had registered again; if it kept them indefinitely, it would send work to failed
+//! endpoints. Registrations that lapse around an outage are therefore kept for a short
+//! time after the recovery, within which live endpoints register again.
 //!
-//! A registration that goes may also have been withdrawn: some endpoints leave
-//! without saying so. So only those doubt it who know of an outage that was long
-//! enough for a registration to lapse. An instance that had the store all along
-//! does not, whatever one says that was cut off from it.
+//! A registration that disappears may also have been withdrawn: some endpoints leave
+//! without announcing it. It is therefore kept only where an outage is known that was
+//! long enough for a registration to lapse. An instance that could reach the store
+//! throughout drops it, even if a partitioned instance reports it as lapsed.
 
 mod registration;
 
@@ -25,51 +25,53 @@
     ids::{EndpointId, ServiceName},
 };
 
-/// How long a lapsed registration is kept after the store's return: live endpoints
-/// register again within it.
+/// How long a lapsed registration is kept after the store recovers: live endpoints
+/// register again within this time.
 pub const LAPSE_GRACE: TimeSpan = TimeSpan::from_millis(2_000);
 
-/// After how many heartbeats that are missing a registration lapses.
+/// The number of missed heartbeats after which a registration lapses.
 const MISSED_HEARTBEATS: u64 = 3;
 
-/// How often endpoints write heartbeats where the settings are silent.
+/// The heartbeat interval of endpoints if the settings name none.
 const DEFAULT_HEARTBEAT: TimeSpan = TimeSpan::from_millis(1_200);
 
-/// What a new registration changed.
+/// The effect of a registration, or of its removal, on the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DirectoryChange {
-    /// A new endpoint, or a new start of a known one.
+    /// A new endpoint, or a restart of a known one.
     Started,
-    /// Something about a known one.
+    /// A known endpoint changed another property.
     Updated,
-    /// It leaves: it gets nothing new.
+    /// The endpoint is leaving and receives no new work.
     Leaving,
-    /// Its registration is gone.
+    /// The registration was removed.
     Gone,
-    /// Its registration is gone, but so was the store: it is kept for now.
+    /// The registration is missing after an outage of the store; the endpoint is kept for
+    /// [`LAPSE_GRACE`].
     Lapsed,
-    /// Nothing.
+    /// No change.
     Same,
 }
 
 #[derive(Clone, Debug)]
 struct KnownEndpoint {
     registration: EndpointRegistration,
-    /// Dropped at this time unless it registers again.
+    /// When it is removed unless it registers again; set if the registration lapsed.
     expires_at: Option<ClockTime>,
 }
 
-/// All registered endpoints.
+/// All registered endpoints, including those whose registration has lapsed.
 #[derive(Clone, Debug)]
 pub struct EndpointDirectory {
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     /// The shortest outage in which a registration can lapse.
     min_outage: TimeSpan,
-    /// When the store last answered, as far as known.
+    /// The time of the store's last known answer.
     answered_at: Option<ClockTime>,
-    /// The store's last answer before the reads that fail now.
+    /// The time of the last answer before the outage in progress.
     outage_since: Option<ClockTime>,
-    /// The first answer after the last outage in which registrations can have lapsed.
+    /// The time of the first answer after the last outage that was long enough for a
+    /// registration to lapse.
     recovered_at: Option<ClockTime>,
 }
 
@@ -80,7 +82,7 @@
 }
 
 impl EndpointDirectory {
-    /// No endpoint.
+    /// An empty directory.
     pub fn new() -> EndpointDirectory {
         EndpointDirectory {
             endpoints: BTreeMap::new(),
@@ -92,22 +94,22 @@
         .with_heartbeat(DEFAULT_HEARTBEAT)
     }
 
-    /// Endpoints write heartbeats at this interval. The last one before an outage
-    /// may be nearly one interval old as the outage begins.
+    /// Sets the heartbeat interval of endpoints. The last heartbeat before an outage may
+    /// be nearly one interval old when the outage begins.
     pub fn with_heartbeat(mut self, interval: TimeSpan) -> EndpointDirectory {
         let missed = interval.as_millis() * (MISSED_HEARTBEATS - 1);
         self.min_outage = TimeSpan::from_millis(missed);
         self
     }
 
-    /// A read of the registrations failed.
+    /// Records that a read of the registrations failed.
     pub fn note_outage(&mut self, now: ClockTime) {
         let last_answer = self.answered_at.unwrap_or(now);
         self.outage_since.get_or_insert(last_answer);
     }
 
-    /// The store answered a read of the registrations at `at`: one of ours, or one
-    /// of the instance that reads for us.
+    /// Records that the store answered a read of the registrations at `at`, sent by this
+    /// instance or by the reader of its failure domain.
     pub fn note_answer(&mut self, at: ClockTime) {
         self.answered_at = self.answered_at.max(Some(at));
         let Some(since) = self.outage_since.take_if(|since| at > *since) else {
@@ -118,13 +120,14 @@
         }
     }
 
-    /// Until when a registration that goes may have lapsed in an outage.
+    /// The time until which a missing registration may have lapsed in an outage; `None`
+    /// if no outage can be the reason at `now`.
     fn grace_end(&self, now: ClockTime) -> Option<ClockTime> {
         let end = self.recovered_at? + LAPSE_GRACE;
         (now < end).then_some(end)
     }
 
-    /// Takes a registration as it was read.
+    /// Inserts or replaces a registration that was read.
     pub fn register(&mut self, registration: EndpointRegistration) -> DirectoryChange {
         let id = registration.id.clone();
         let known = self.endpoints.get(&id);
@@ -149,13 +152,14 @@
         change
     }
 
-    /// The registration of `id` is gone from the store.
+    /// Records that the store no longer has the registration of `id`.
     pub fn unregister(&mut self, now: ClockTime, id: &EndpointId) -> DirectoryChange {
         let end = self.grace_end(now);
         self.end_registration(id, end)
     }
 
-    /// Drops `id` at `end`, or at once if there is none or it had said that it leaves.
+    /// Schedules the removal of `id` at `end`; removes it at once if there is no `end` or
+    /// the endpoint had announced that it is leaving.
     fn end_registration(&mut self, id: &EndpointId, end: Option<ClockTime>) -> DirectoryChange {
         let Some(known) = self.endpoints.get_mut(id) else {
             return DirectoryChange::Same;
@@ -173,9 +177,9 @@
         }
     }
 
-    /// Another instance says that the registration has lapsed around an outage of
-    /// the store, and for how much longer it keeps it. That is no longer than here,
-    /// where the outage may be unknown.
+    /// Records that another instance reports the registration as lapsed around an outage
+    /// of the store and keeps it for `kept_for` longer. It is kept here for at most that
+    /// time, and not at all if no outage is known here.
     pub fn lapse(
         &mut self,
         now: ClockTime,
@@ -186,14 +190,14 @@
         self.end_registration(id, end)
     }
 
-    /// For how much longer a lapsed registration is kept.
+    /// How much longer a lapsed registration is kept.
     pub fn remaining_grace(&self, now: ClockTime, id: &EndpointId) -> Option<TimeSpan> {
         let expires_at = self.endpoints.get(id)?.expires_at?;
         Some(expires_at.since(now))
     }
 
-    /// A number that differs where two pictures of the endpoints differ in
-    /// anything that decides where work goes.
+    /// A hash of all endpoint properties that decide where work is sent, to compare the
+    /// directories of two instances.
     pub fn digest(&self) -> u64 {
         let mut hasher = Xxh3::new();
         let present = self
@@ -216,8 +220,8 @@
         hasher.digest()
     }
 
-    /// Keeps what is listed and treats the others as unregistered: the listing
-    /// stands for everything in the store.
+    /// Treats all endpoints that are not `listed` as unregistered, and returns them. The
+    /// list must be complete.
     pub fn retain_listed<Listed>(&mut self, now: ClockTime, listed: Listed) -> Vec<EndpointId>
     where
         Listed: Fn(&EndpointId) -> bool,
@@ -230,12 +234,12 @@
         missing
     }
 
-    /// The endpoint answered under another name: whoever had the address is gone.
+    /// Removes an endpoint at whose address another endpoint answered.
     pub fn remove_endpoint(&mut self, id: &EndpointId) {
         self.endpoints.remove(id);
     }
 
-    /// Drops what lapsed and did not register again; answers their ids.
+    /// Removes lapsed endpoints that did not register again in time, and returns them.
     pub fn remove_expired(&mut self, now: ClockTime) -> Vec<EndpointId> {
         let lapsed = |known: &KnownEndpoint| known.expires_at.is_some_and(|at| now >= at);
         let ids = self.endpoints.iter().filter(|(_, known)| lapsed(known));
@@ -251,7 +255,7 @@
         self.endpoints.get(id).map(|known| &known.registration)
     }
 
-    /// The endpoints of a service that may get new work.
+    /// The endpoints of a service that may receive new work.
     pub fn available_for<'a>(
         &'a self,
         service: &'a ServiceName,
--- a/crates/core/src/directory/registration.rs
+++ b/crates/core/src/directory/registration.rs
@@ -1,4 +1,4 @@
-//! What an endpoint says of itself.
+//! The registration of an endpoint.
 
 use std::net::SocketAddr;
 
@@ -9,47 +9,47 @@
     ids::{EndpointId, FailureDomain, ServiceName},
 };
 
-/// What an engine does with prompts.
+/// The stage of model inference that an engine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineStage {
-    /// It prefills prompts at full speed and hands the KV cache over.
+    /// Prefills prompts at full speed and hands the KV cache over.
     Prefill,
-    /// It generates tokens, and prefills at a lower speed if it has to.
+    /// Generates tokens, and prefills at a lower speed if needed.
     Decode,
 }
 
-/// One endpoint as it stands in the store.
+/// The registration of an endpoint as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct EndpointRegistration {
-    /// Its id; an endpoint may start again under the same one.
+    /// The id of the endpoint; a restarted endpoint may reuse it.
     pub id: EndpointId,
-    /// Tells its starts apart: the time of its start, as it says.
+    /// Its start time by its own clock, which distinguishes restarts under one id.
     pub start: u64,
     /// The service that it runs.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: FailureDomain,
-    /// How many requests it runs at once.
+    /// The maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it leaves and gets nothing new.
+    /// Whether it is leaving and receives no new work.
     pub is_leaving: bool,
-    /// How soon it is gone, if it says so.
+    /// The time until it leaves, if announced.
     pub leaves_in: Option<TimeSpan>,
     /// Whether it may be withdrawn at short notice.
     pub is_preemptible: bool,
-    /// The stage of an engine.
+    /// The stage that it runs, if it is an engine.
     pub stage: Option<EngineStage>,
-    /// How much longer it is slow after its start.
+    /// How much longer it runs slowly after its start.
     pub warming: TimeSpan,
-    /// Rises with each heartbeat.
+    /// The heartbeat number, which rises with each heartbeat.
     pub sequence: u64,
 }
 
 impl EndpointRegistration {
-    /// Whether `other` says the same, but for the heartbeat's number.
+    /// Whether `other` is equal but for the heartbeat number and the warming time.
     pub fn same_except_heartbeat(&self, other: &EndpointRegistration) -> bool {
         let other = EndpointRegistration {
             sequence: self.sequence,
--- a/crates/core/src/ingress/configuration.rs
+++ b/crates/core/src/ingress/configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration as entries use it.
+//! The configuration of routes, services, limits and keys, as entries use it.
 
 use std::collections::BTreeMap;
 
@@ -11,58 +11,60 @@
     units::{ByteSize, TokenCount},
 };
 
-/// What may be repeated on a route, and how it answers.
+/// Whether requests of a route may be repeated, and how they are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
     /// Idempotent; it may run more than once.
     Safe,
-    /// At most once for each of the caller's attempts.
+    /// Runs at most once for each attempt of the caller.
     Unsafe,
-    /// A stream of numbered events; at most once unless it can be resumed.
+    /// A stream of numbered events; runs at most once unless it is resumable.
     Streaming,
 }
 
-/// A service that a route sends a share of its requests to.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct WeightedService {
-    /// The service.
+    /// The name of the service.
     pub service: ServiceName,
-    /// Its share, relative to the other services of the route.
+    /// Its share, relative to the weights of the route's other services.
     pub weight: u32,
 }
 
-/// One route: which requests it takes and how they are treated.
+/// A route: which requests it matches and how they are handled.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RouteRule {
-    /// The operator's name for it.
+    /// The name that the operator gave to the route.
     pub name: String,
-    /// The host that callers name, in lower case and without a port.
+    /// The host of the requests, in lower case and without a port.
     pub host: String,
-    /// What the path begins with; it begins and ends with a slash.
+    /// The prefix of the request path; it starts and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated, and how they are answered.
     pub kind: RouteKind,
-    /// How long the operator wants a caller kept waiting at most.
+    /// The longest time that a caller may wait for the answer.
     pub timeout: TimeSpan,
-    /// Within what time an answer, or the first event of a stream, earns in full.
+    /// The time within which an answer, or the first event of a stream, counts as fully
+    /// on time.
     pub objective: TimeSpan,
-    /// The longest pause between two events that is still on time.
+    /// The longest gap between two events that counts as on time.
     pub gap_objective: Option<TimeSpan>,
-    /// Its rank, 0 being the most urgent.
+    /// The priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// Where requests go.
+    /// The services that requests are sent to.
     pub targets: Vec<WeightedService>,
-    /// How many endpoints may run one attempt of a caller.
+    /// The maximum number of endpoints that one attempt of a caller is sent to.
     pub attempts_limit: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub is_public: bool,
-    /// Whether a broken stream may go on elsewhere.
+    /// Whether an interrupted stream may be continued by another endpoint.
     pub is_resumable: bool,
 }
 
 impl RouteRule {
-    /// Whether a request of this route may be sent again after it may have run.
+    /// Whether a request of this route may be sent again if an earlier attempt may have
+    /// run.
     pub fn work_kind(&self) -> WorkKind {
         match self.kind {
             RouteKind::Safe => WorkKind::Repeatable,
@@ -71,33 +73,33 @@
         }
     }
 
-    /// Whether requests may go to `service`.
+    /// Whether requests may be sent to `service`.
     pub fn allows_service(&self, service: &ServiceName) -> bool {
         self.targets.iter().any(|target| target.service == *service)
     }
 }
 
-/// What the operator says of the engines of a service.
+/// The operator's settings for the engines of a service.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EngineRule {
-    /// How many requests an engine runs at once.
+    /// The maximum number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// The tokens that its memory holds.
+    /// The capacity of its memory in tokens.
     pub memory: TokenCount,
-    /// The memory that a token takes.
+    /// The memory that one token occupies.
     pub token_bytes: ByteSize,
-    /// The bandwidth between engines in bytes a millisecond.
+    /// The bandwidth between two engines, in bytes per millisecond.
     pub link_bytes_per_ms: u64,
-    /// How long a prefilled prompt is kept for a hand-over.
+    /// How long a prefilled prompt is kept for the hand-over to a decode engine.
     #[serde(rename = "handle_life")]
     pub handle_lifetime: TimeSpan,
-    /// How long an engine is away when it changes its stage.
+    /// How long an engine is unavailable while it changes its stage.
     pub stage_switch: TimeSpan,
 }
 
 impl EngineRule {
-    /// The share of an engine that a request of `tokens` takes while it runs: of its
-    /// slots or of its memory, whichever is more.
+    /// The share of an engine's capacity that a running request of `tokens` occupies:
+    /// of its slots or of its memory, whichever is greater.
     pub fn capacity_share(&self, tokens: TokenCount) -> f64 {
         let of_memory = tokens.count() as f64 / self.memory.count().max(1) as f64;
         let of_slots = 1.0 / f64::from(self.slots.max(1));
@@ -105,75 +107,75 @@
     }
 }
 
-/// How many endpoints of a service may be ordered, and what they cost.
+/// How many endpoints of a service may be ordered, and at which prices.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ScalingRule {
-    /// The fewest in a failure domain, of both kinds together.
+    /// The minimum in each failure domain, preemptible endpoints included.
     #[serde(rename = "least")]
     pub min_endpoints: u32,
-    /// The most in a failure domain, of both kinds together.
+    /// The maximum in each failure domain, preemptible endpoints included.
     #[serde(rename = "most")]
     pub max_endpoints: u32,
-    /// How long a new one takes to serve.
+    /// The time until a new endpoint serves.
     #[serde(rename = "boot")]
     pub startup_time: TimeSpan,
-    /// The price of a preemptible endpoint, relative to the others.
+    /// The price of a preemptible endpoint, relative to other endpoints.
     pub preemptible_price: Option<f64>,
-    /// Prices relative to each other, by failure domain.
+    /// The price in each failure domain, relative to the other domains.
     pub domain_prices: BTreeMap<FailureDomain, f64>,
 }
 
-/// What the operator says of a service.
+/// The operator's settings for a service.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ServiceRule {
-    /// Its name.
+    /// The name of the service.
     pub name: ServiceName,
-    /// Where its endpoints answer health checks.
+    /// The path of the health check on its endpoints.
     pub health_path: String,
-    /// How many connections an endpoint takes from everybody together.
+    /// The maximum number of connections to one endpoint, over all instances.
     pub connections_limit: u32,
-    /// Set for model engines.
+    /// The engine settings, if its endpoints are model engines.
     pub engine: Option<EngineRule>,
-    /// Set where endpoints can be ordered.
+    /// The scaling settings, if its endpoints can be ordered.
     pub scaling: Option<ScalingRule>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and duration of callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct CallerLimits {
-    /// The largest head of a request.
+    /// The maximum size of a request head.
     pub head: ByteSize,
-    /// The largest body.
+    /// The maximum size of a request body.
     pub body: ByteSize,
-    /// How long a head may take to come in.
+    /// The maximum time to receive a request head.
     pub head_timeout: TimeSpan,
-    /// How long a connection may stay idle.
+    /// The maximum idle time of a connection.
     pub idle_timeout: TimeSpan,
 }
 
 /// An organisation and its keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct OrganisationRule {
-    /// Its name.
+    /// The name of the organisation.
     pub name: OrganisationId,
-    /// The digests of its keys.
+    /// The digests of its API keys.
     #[serde(skip)]
     pub keys: Vec<KeyDigest>,
-    /// A rank that goes before the route's, if it has one.
+    /// A priority that overrides the route's, if set.
     pub priority: Option<u8>,
 }
 
-/// One version of everything that the operator decides.
+/// One version of the complete configuration that the operator publishes.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct IngressConfiguration {
-    /// Rises with each change, in uneven steps.
+    /// Rises with each change, not necessarily by one.
     pub version: u64,
     /// All routes.
     pub routes: Vec<RouteRule>,
-    /// All services by name.
+    /// All services, by name.
     pub services: BTreeMap<ServiceName, ServiceRule>,
-    /// What callers may send.
+    /// The limits on callers' requests.
     pub limits: CallerLimits,
-    /// Who may call; none if requests need no key at all.
+    /// The organisations that may send requests; `None` if no request needs a key.
     pub organisations: Option<Vec<OrganisationRule>>,
 }
--- a/crates/core/src/ingress/mod.rs
+++ b/crates/core/src/ingress/mod.rs
@@ -1,10 +1,10 @@
-//! What an entry instance believes about callers' requests: which routes and
-//! keys are in force, and for how long that belief may be trusted.
+//! The configuration of an entry instance: which routes and keys are in force, and
+//! how long they may be used without a new confirmation from the store.
 //!
-//! An operator writes whole configurations with rising versions. An entry never
-//! goes back to an older one ([`ConfigurationBelief`]), whatever order its reads
-//! come back in, and it knows the age of its belief: a key that was withdrawn
-//! while the store was out of reach must stop working all the same.
+//! An operator writes complete configurations with rising versions. An entry never
+//! returns to an older one ([`ConfigurationTracker`]), in whatever order its reads
+//! complete. It also tracks the age of its last confirmation, because a key that is
+//! withdrawn while the store is unreachable must be rejected in time as well.
 
 mod configuration;
 mod routes;
--- a/crates/core/src/ingress/routes.rs
+++ b/crates/core/src/ingress/routes.rs
@@ -1,4 +1,4 @@
-//! Finding the route and the organisation of a request.
+//! Lookup of the route and the organisation of a request.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -7,7 +7,7 @@
     ingress::{IngressConfiguration, OrganisationRule, RouteRule, ServiceRule},
 };
 
-/// A configuration with its indexes.
+/// A configuration with indexes by host and by key.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     configuration: IngressConfiguration,
@@ -18,7 +18,7 @@
 }
 
 impl RouteTable {
-    /// Indexes `configuration`.
+    /// Builds the indexes of `configuration`.
     pub fn new(configuration: IngressConfiguration) -> RouteTable {
         let mut by_host: BTreeMap<String, Vec<usize>> = BTreeMap::new();
         for (index, route) in configuration.routes.iter().enumerate() {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The configuration.
+    /// The indexed configuration.
     pub fn configuration(&self) -> &IngressConfiguration {
         &self.configuration
     }
@@ -73,7 +73,7 @@
         self.configuration.services.get(name)
     }
 
-    /// The rank of a request: the organisation's goes before the route's.
+    /// The priority of a request: the organisation's, or the route's if it has none.
     pub fn priority(&self, route: &RouteRule, organisation: Option<&OrganisationId>) -> u8 {
         let rules = self.configuration.organisations.iter().flatten();
         let rule = organisation.and_then(|name| rules.clone().find(|rule| rule.name == *name));
--- a/crates/core/src/ingress/tracker.rs
+++ b/crates/core/src/ingress/tracker.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force here, and how old that knowledge is.
+//! The configuration in force on this instance and the age of its last confirmation.
 
 use std::sync::Arc;
 
@@ -7,12 +7,12 @@
     ingress::{IngressConfiguration, RouteTable},
 };
 
-/// What became of a configuration that was read.
+/// How a configuration that was read compares with the one in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It is newer and now in force.
+    /// It is newer and was put in force.
     Newer,
-    /// It is the one in force.
+    /// It is the version in force.
     Same,
     /// It is older than the one in force and was dropped.
     Older,
@@ -20,27 +20,29 @@
 
 /// The configuration in force and its freshness.
 ///
-/// Times are of a clock that goes on while the process is suspended: an instance
-/// that wakes after some seconds must not take its old keys for fresh.
+/// Times are of a clock that keeps running while the process is suspended: an instance
+/// that resumes after some seconds must not treat its old keys as fresh.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationTracker {
     table: Option<Arc<RouteTable>>,
     confirmed_at: Option<ClockTime>,
-    /// Newer versions that others advertised, each with the time of the first advert.
+    /// Newer versions that other instances advertised, each with the time at which it
+    /// was first received.
     newer_versions: Vec<(u64, ClockTime)>,
 }
 
 impl ConfigurationTracker {
-    /// Nothing read yet.
+    /// A tracker without a configuration.
     pub fn new() -> ConfigurationTracker {
         ConfigurationTracker::default()
     }
 
-    /// Takes a configuration that was read.
+    /// Puts a configuration that was read in force, unless a version at least as new
+    /// is in force already.
     ///
-    /// Reads overtake each other and a peer may be behind. Were an older version
-    /// put in force again, a withdrawn key would work again and requests would
-    /// run at a service that their route has left; so versions only rise.
+    /// Reads can overtake each other, and a peer can be behind. If an older version
+    /// came into force again, a withdrawn key would be accepted again and requests
+    /// would be sent to a service that their route no longer names.
     pub fn offer(&mut self, configuration: IngressConfiguration) -> OfferOutcome {
         match self.version() {
             Some(version) if configuration.version == version => OfferOutcome::Same,
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Another instance advertises that it has `version` in force.
+    /// Records that another instance advertises `version` as in force.
     pub fn note_advertised(&mut self, now: ClockTime, version: u64) {
         let newest = self.newer_versions.last().map(|(newest, _)| *newest);
         if newest.max(self.version()) < Some(version) {
@@ -62,21 +64,21 @@
         }
     }
 
-    /// Whether the version in force has been known to be replaced for `limit` or more.
-    /// What it allows, such as a key or a service that a route has left, may then be
-    /// against what the operator was promised.
+    /// Whether a newer version has been known for `limit` or longer without being put
+    /// in force here. The version in force may then still accept a key or use a service
+    /// after the bound within which the operator's change has to take effect.
     pub fn is_outdated(&self, now: ClockTime, limit: TimeSpan) -> bool {
         let first = self.newer_versions.first();
         first.is_some_and(|(_, advertised_at)| now.since(*advertised_at) >= limit)
     }
 
-    /// A read that was sent at `sent` came back complete and has been applied:
-    /// whatever stood in the store at that moment is known here.
+    /// Records that a read sent at `sent` returned completely and has been applied:
+    /// everything that the store held at that time is known here.
     pub fn confirm(&mut self, sent: ClockTime) {
         self.confirmed_at = self.confirmed_at.max(Some(sent));
     }
 
-    /// The table in force.
+    /// The route table of the configuration in force.
     pub fn table(&self) -> Option<&Arc<RouteTable>> {
         self.table.as_ref()
     }
@@ -87,13 +89,13 @@
         Some(table.configuration().version)
     }
 
-    /// How old the newest confirmation is; nothing if there was none.
+    /// The age of the newest confirmation; `None` if there was none.
     pub fn age(&self, now: ClockTime) -> Option<TimeSpan> {
         self.confirmed_at
             .map(|confirmed_at| now.since(confirmed_at))
     }
 
-    /// Whether keys may be trusted: the newest confirmation is younger than `limit`.
+    /// Whether keys may be accepted: the newest confirmation is younger than `limit`.
     pub fn is_fresh(&self, now: ClockTime, limit: TimeSpan) -> bool {
         self.age(now).is_some_and(|age| age < limit)
     }
--- a/crates/core/src/leadership/mod.rs
+++ b/crates/core/src/leadership/mod.rs
@@ -1,18 +1,19 @@
-//! Who acts for all instances towards the platform and the engines.
+//! Leader election by conditional appends to a topic of the store.
 //!
-//! Usage reports, endpoint orders and engine orders are one process's job at a
-//! time. The *steward* is whoever appended last to a topic of the store, and the
-//! offset of that record is its fencing number: it rises with each record, and no
-//! two processes have the same. Before each act the steward appends a record,
-//! only where the topic still ends as it has read it, and acts at once or not at
-//! all. So a steward that was suspended, cut off or slow never acts on an old
-//! right; it finds that the time allowed since its append was sent is over.
+//! Usage reports, endpoint orders and engine orders are sent by one process at a
+//! time. The *leader* is the process that appended the last record of the topic,
+//! and the offset of that record is its fencing number: it rises with each record
+//! and is never shared by two processes. Before each action the leader appends a
+//! record, on the condition that the topic still ends where the leader has read it,
+//! and then acts within [`ACTION_WINDOW`] or not at all. A leader that was suspended,
+//! partitioned or slow therefore never acts on an outdated grant.
 //!
-//! Somebody else takes over when nothing was appended for longer than the
-//! steward's last act can lie behind its record, and the lease after that. With
-//! no act in the lease before a takeover, two holders never take turns in it.
+//! Another process takes over once no record was appended for the longest time that
+//! the leader's last action can lag behind its record, plus the lease. As no action
+//! falls into the lease before a takeover, actions of two leaders never alternate
+//! within one lease.
 //!
-//! Times are of a clock that goes on while the process is suspended.
+//! Times are of a clock that keeps running while the process is suspended.
 
 use serde::Serialize;
 
@@ -22,27 +23,29 @@
     usage::MeterWriter,
 };
 
-/// How long after its append was sent a steward may act. An append takes 4 ms,
-/// and 0.2 s while the store is slow; the call itself may take some time too.
+/// How long after sending its append a leader may start an action. An append takes
+/// 4 ms, and 0.2 s while the store is slow; the action's call takes time as well.
 pub const ACTION_WINDOW: TimeSpan = TimeSpan::from_millis(1_000);
 
-/// How long an act may be on its way: connections take a second if their opening
+/// How long an action may be in transit: opening a connection takes 1 s if its first
 /// packet is lost.
 const MAX_ACTION_DELAY: TimeSpan = TimeSpan::from_millis(800);
 
-/// How often a steward appends at least, so that the others know that it is there.
+/// The longest interval between two appends of a live leader, which show the other
+/// processes that it is alive.
 pub const LEADER_HEARTBEAT_INTERVAL: TimeSpan = TimeSpan::from_millis(4_000);
 
-/// How late a beat may be before the steward is taken to be gone.
+/// How late a heartbeat may be before the leader is assumed to have failed.
 const HEARTBEAT_SLACK: TimeSpan = TimeSpan::from_millis(1_500);
 
-/// How much longer each next candidate waits, so that they don't all append.
+/// The difference between the delays of two candidates, which keeps them from
+/// appending all at the same time.
 const CANDIDATE_DELAY_STEP: TimeSpan = TimeSpan::from_millis(150);
 
-/// How many steps the candidates are spread over.
+/// The number of different candidate delays.
 const CANDIDATE_DELAY_STEPS: u64 = 8;
 
-/// The right to act, until it runs out.
+/// Permission to start an action within [`ACTION_WINDOW`] of the append.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaderGrant {
     /// The fencing number.
@@ -51,7 +54,7 @@
 }
 
 impl LeaderGrant {
-    /// Whether the act may still be begun.
+    /// Whether the action may still be started.
     pub fn allows(&self, now: ClockTime) -> bool {
         now.since(self.sent) <= ACTION_WINDOW
     }
@@ -65,7 +68,7 @@
     read_at: ClockTime,
 }
 
-/// What one process knows of the steward.
+/// The state of the leader election as one process has read it.
 #[derive(Clone, Debug)]
 pub struct LeadershipState {
     local: MeterWriter,
@@ -76,7 +79,9 @@
 }
 
 impl LeadershipState {
-    /// Nothing read yet by this process, which started at `now`.
+    /// The state of a process that started at `now` and has not read the topic yet.
+    /// `local` is the process's own writer identity, `lease` the time without
+    /// actions before a takeover.
     pub fn new(now: ClockTime, local: MeterWriter, lease: TimeSpan) -> LeadershipState {
         LeadershipState {
             local,
@@ -87,7 +92,8 @@
         }
     }
 
-    /// A record was read. Records are read in order.
+    /// Records that `writer` appended at `offset`. Offsets that were already recorded
+    /// are ignored.
     pub fn note_record(&mut self, now: ClockTime, offset: LogOffset, writer: MeterWriter) {
         if self.last.as_ref().is_some_and(|last| last.offset >= offset) {
             return;
@@ -100,30 +106,30 @@
         self.note_end(offset.next());
     }
 
-    /// Everything before `end` has been read.
+    /// Records that everything before `end` has been read.
     pub fn note_end(&mut self, end: LogOffset) {
         self.end = self.end.max(Some(end));
     }
 
-    /// Where the topic ended when it was last read; an append must name it.
+    /// The end of the topic when it was last read, which an append is conditional on.
     pub fn end(&self) -> Option<LogOffset> {
         self.end
     }
 
-    /// Whether this process appended last.
+    /// Whether this process appended the last record.
     pub fn is_leader(&self) -> bool {
         self.last
             .as_ref()
             .is_some_and(|last| last.writer == self.local)
     }
 
-    /// Who appended last.
+    /// The instance that appended the last record.
     pub fn leader(&self) -> Option<&InstanceId> {
         self.last.as_ref().map(|last| &last.writer.instance)
     }
 
-    /// Whether this process may append: it is the steward, or the steward has been
-    /// silent for so long that none of its acts can lie within the lease.
+    /// Whether this process may append: it is the leader, or no record was appended
+    /// for so long that no action of the leader can fall within the lease.
     pub fn may_append(&self, now: ClockTime) -> bool {
         let Some(_) = self.end else { return false };
         let Some(last) = &self.last else {
@@ -132,7 +138,8 @@
         last.writer == self.local || now.since(last.read_at) >= self.takeover_timeout()
     }
 
-    /// The append that was sent at `sent` stands at `offset`.
+    /// Records that the local append sent at `sent` was stored at `offset`, and
+    /// returns the grant that follows from it.
     pub fn appended(&mut self, now: ClockTime, sent: ClockTime, offset: LogOffset) -> LeaderGrant {
         self.note_record(now, offset, self.local.clone());
         LeaderGrant {
@@ -141,24 +148,25 @@
         }
     }
 
-    /// How much longer this process waits before it takes over.
+    /// How much longer this process waits before it may take over; zero if the topic
+    /// has no record.
     pub fn takeover_wait(&self, now: ClockTime) -> TimeSpan {
-        let silent = self.last.as_ref().map(|last| now.since(last.read_at));
+        let silence = self.last.as_ref().map(|last| now.since(last.read_at));
         let slack = TimeSpan::from_millis(10);
-        silent.map_or(TimeSpan::ZERO, |silent| {
-            self.takeover_timeout().less(silent) + slack
+        silence.map_or(TimeSpan::ZERO, |silence| {
+            self.takeover_timeout().less(silence) + slack
         })
     }
 
-    /// How long the steward may be silent before this process takes over.
+    /// How long the leader may append no record before this process takes over.
     pub fn takeover_timeout(&self) -> TimeSpan {
-        let acts_over = self.lease + ACTION_WINDOW + MAX_ACTION_DELAY;
-        acts_over.max(LEADER_HEARTBEAT_INTERVAL + HEARTBEAT_SLACK) + self.candidate_delay()
+        let last_action_end = self.lease + ACTION_WINDOW + MAX_ACTION_DELAY;
+        last_action_end.max(LEADER_HEARTBEAT_INTERVAL + HEARTBEAT_SLACK) + self.candidate_delay()
     }
 
     fn candidate_delay(&self) -> TimeSpan {
         let name = self.local.instance.as_str().as_bytes();
-        let place = xxhash_rust::xxh3::xxh3_64(name) % CANDIDATE_DELAY_STEPS;
-        CANDIDATE_DELAY_STEP.times(place)
+        let step = xxhash_rust::xxh3::xxh3_64(name) % CANDIDATE_DELAY_STEPS;
+        CANDIDATE_DELAY_STEP.times(step)
     }
 }
--- a/crates/core/tests/directory.rs
+++ b/crates/core/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Which endpoints may get work, around outages of the store.
+//! Which endpoints may receive work, around outages of the store.
 
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_endpoint_that_leaves_gets_nothing_new_at_once() {
+fn a_leaving_endpoint_receives_no_new_work_at_once() {
     let mut directory = EndpointDirectory::new();
     assert_eq!(
         directory.register(registration("one")),
@@ -56,7 +56,7 @@
     leaving.is_leaving = true;
     assert_eq!(directory.register(leaving), DirectoryChange::Leaving);
     assert!(open(&directory).is_empty());
-    // Its entry is still known: it may be asked for its address.
+    // Its registration is still known, so its address can be looked up.
     assert!(directory.get(&id("one")).is_some());
     assert_eq!(
         directory.unregister(at(0), &id("one")),
@@ -65,12 +65,12 @@
 }
 
 #[test]
-fn a_heartbeat_alone_is_no_change_and_a_new_start_is_one() {
+fn a_heartbeat_alone_is_no_change_and_a_restart_is_one() {
     let mut directory = EndpointDirectory::new();
     directory.register(registration("one"));
-    let mut beat = registration("one");
-    beat.sequence = 2;
-    assert_eq!(directory.register(beat), DirectoryChange::Same);
+    let mut heartbeat = registration("one");
+    heartbeat.sequence = 2;
+    assert_eq!(directory.register(heartbeat), DirectoryChange::Same);
     let mut restarted = registration("one");
     restarted.start = 2;
     restarted.sequence = 1;
@@ -78,10 +78,10 @@
 }
 
 #[test]
-fn endpoints_that_lapse_while_the_store_is_away_are_kept_until_they_can_be_back() {
-    // The store is down for longer than three heartbeats, so all registrations
-    // lapse though every endpoint lives. When it is back, an entry that believed the
-    // empty list would refuse all callers until the endpoints have registered.
+fn endpoints_that_lapse_in_an_outage_are_kept_until_they_can_register_again() {
+    // The store is down for longer than three heartbeats, so all registrations lapse
+    // although every endpoint is alive. If an entry applied the empty list after the
+    // recovery, it would refuse all callers until the endpoints have registered again.
     let mut directory = EndpointDirectory::new();
     directory.register(registration("lives"));
     directory.register(registration("died"));
@@ -98,15 +98,15 @@
     assert_eq!(open(&directory), ["died", "lives"]);
     directory.register(registration("lives"));
     assert!(directory.remove_expired(at(7_999)).is_empty());
-    // One still missing after the grace is to be taken as gone.
+    // An endpoint that is still missing after the grace time is removed.
     assert_eq!(directory.remove_expired(at(8_000)), [id("died")]);
     assert_eq!(open(&directory), ["lives"]);
 }
 
 #[test]
-fn without_an_outage_a_missing_registration_is_gone_at_once() {
-    // Some endpoints leave without saying so: their registration just goes. Work
-    // that is sent there afterwards is work for a leaving endpoint.
+fn without_an_outage_a_missing_registration_is_removed_at_once() {
+    // Some endpoints leave without announcing it: their registration is withdrawn.
+    // Work sent there afterwards would go to a leaving endpoint.
     let mut directory = EndpointDirectory::new();
     directory.register(registration("one"));
     assert_eq!(
@@ -124,10 +124,10 @@
 }
 
 #[test]
-fn a_lapse_that_another_instance_tells_ends_when_that_one_ends_it() {
+fn a_lapse_that_another_instance_reports_ends_with_the_time_that_it_reports() {
     // The reader of a failure domain keeps a lapsed endpoint for two seconds and
-    // tells the others. Were each to keep it for two seconds of its own, work would
-    // go to an endpoint that left four seconds ago.
+    // reports it to the others. If each kept it for another two seconds, work would be
+    // sent to an endpoint that left four seconds ago.
     let mut directory = EndpointDirectory::new();
     directory.register(registration("one"));
     directory.note_outage(at(1_000));
@@ -143,13 +143,13 @@
 }
 
 #[test]
-fn pictures_of_the_endpoints_differ_where_work_would_go_elsewhere() {
+fn digests_differ_where_work_would_be_sent_to_other_endpoints() {
     let mut one = EndpointDirectory::new();
     let mut two = EndpointDirectory::new();
     one.register(registration("a"));
-    let mut later_beat = registration("a");
-    later_beat.sequence = 99;
-    two.register(later_beat);
+    let mut later_heartbeat = registration("a");
+    later_heartbeat.sequence = 99;
+    two.register(later_heartbeat);
     assert_eq!(one.digest(), two.digest());
     let mut prefills = registration("a");
     prefills.stage = Some(EngineStage::Prefill);
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_whole_listing_stands_for_everything_in_the_store() {
+fn endpoints_missing_from_a_complete_listing_are_unregistered() {
     let mut directory = EndpointDirectory::new();
     directory.register(registration("kept"));
     directory.register(registration("missing"));
@@ -172,10 +172,10 @@
     assert_eq!(open(&directory), ["kept"]);
 }
 
-/// Guards against work for a withdrawn endpoint that a reader keeps because it was
-/// itself cut off from the store.
+/// Guards against work for a withdrawn endpoint that the reader keeps because the reader
+/// itself was partitioned from the store.
 #[test]
-fn a_withdrawal_counts_at_once_where_the_store_was_never_away() {
+fn a_withdrawal_counts_at_once_where_the_store_was_always_reachable() {
     let mut directory = EndpointDirectory::new();
     directory.register(registration("withdrawn"));
     directory.note_answer(at(11_400));
@@ -199,8 +199,8 @@
     assert!(open(&directory).is_empty());
 }
 
-/// Guards against an instance that learns of the store's return from its reader and
-/// drops endpoints that live and have not registered again yet.
+/// Guards against an instance that learns from its reader that the store has recovered,
+/// and drops live endpoints that have not registered again yet.
 #[test]
 fn an_outage_ends_with_the_first_answer_to_the_reader() {
     let mut directory = EndpointDirectory::new();
@@ -216,9 +216,9 @@
     assert_eq!(directory.remove_expired(at(8_000)), [id("lives")]);
 }
 
-/// Guards against telling the same lapse again with each word of the reader.
+/// Guards against reporting the same lapse again with each message of the reader.
 #[test]
-fn a_lapse_is_one_change_however_often_it_is_told() {
+fn a_repeated_lapse_is_a_single_change() {
     let mut directory = EndpointDirectory::new();
     directory.register(registration("one"));
     directory.note_outage(at(1_000));
--- a/crates/core/tests/ingress.rs
+++ b/crates/core/tests/ingress.rs
@@ -1,4 +1,4 @@
-//! What an entry believes of routes and keys.
+//! Configuration versions, freshness of keys, and route lookup of an entry.
 
 use std::collections::BTreeMap;
 
@@ -61,10 +61,10 @@
 }
 
 #[test]
-fn an_older_configuration_never_comes_back() {
-    // Two reads of the configuration overtake each other, or another instance that
-    // is behind tells what it knows. Were the older one put in force, a withdrawn
-    // key would work again and its holder would notice nothing.
+fn an_older_configuration_is_never_put_in_force_again() {
+    // Two reads of the configuration overtake each other, or an instance that is
+    // behind relays its version. If the older one were put in force, a withdrawn key
+    // would be accepted again without any sign of it.
     let mut tracker = ConfigurationTracker::new();
     assert_eq!(
         tracker.offer(configuration(7, Vec::new(), &["old", "new"])),
@@ -88,10 +88,10 @@
 }
 
 #[test]
-fn knowledge_of_keys_counts_from_when_the_read_was_sent() {
-    // A read is held back at the store and comes back late. A key that was
-    // withdrawn after the store looked is not in it, so the answer is as old as the
-    // question; counted from its arrival, the key would work for too long.
+fn the_age_of_keys_counts_from_when_the_read_was_sent() {
+    // The store delays the answer to a read. The answer lacks the withdrawal of a key
+    // that came after the store's lookup, so it may be as old as the request. If its
+    // age counted from its arrival, the key would be accepted for too long.
     let mut tracker = ConfigurationTracker::new();
     assert_eq!(tracker.age(at(0)), None);
     assert!(!tracker.is_fresh(at(0), span(4_750)));
@@ -100,13 +100,13 @@
     assert_eq!(tracker.age(at(5_000)), Some(span(4_000)));
     assert!(tracker.is_fresh(at(5_749), span(4_750)));
     assert!(!tracker.is_fresh(at(5_750), span(4_750)));
-    // A confirmation that overtook another does not make it older again.
+    // An earlier confirmation that arrives late does not reset the age.
     tracker.confirm(at(500));
     assert_eq!(tracker.age(at(5_000)), Some(span(4_000)));
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_is_the_route() {
+fn the_longest_matching_prefix_of_the_host_selects_the_route() {
     let routes = vec![
         route("kiosk.example", "/a/", RouteKind::Safe),
         route("kiosk.example", "/a/b/", RouteKind::Unsafe),
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn what_may_be_repeated_follows_from_the_kind_of_the_route() {
+fn the_kind_of_a_route_decides_whether_its_requests_may_be_repeated() {
     let mut stream = route("h", "/", RouteKind::Streaming);
     assert_eq!(stream.work_kind(), WorkKind::AtMostOnce);
     stream.is_resumable = true;
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn the_rank_of_an_organisation_goes_before_the_one_of_the_route() {
+fn the_priority_of_an_organisation_overrides_that_of_the_route() {
     let table = RouteTable::new(configuration(1, Vec::new(), &[]));
     let rule = route("h", "/", RouteKind::Safe);
     let magnolia = OrganisationId::new("magnolia").unwrap();
@@ -154,8 +154,8 @@
     assert_eq!(table.priority(&rule, None), 2);
 }
 
-/// Guards against serving by a version that is known to be replaced, for as long as the
-/// newer one does not arrive.
+/// Guards against using a version that is known to be replaced for as long as the newer
+/// one does not arrive.
 #[test]
 fn a_version_known_to_be_replaced_is_outdated_after_the_bound() {
     let mut tracker = ConfigurationTracker::new();
@@ -166,7 +166,7 @@
     tracker.note_advertised(at(65_900), 23);
     assert!(!tracker.is_outdated(at(65_999), span(2_000)));
     assert!(tracker.is_outdated(at(66_000), span(2_000)));
-    // The version in between arrives: what is missing now was heard of later.
+    // The intermediate version arrives: the version still missing was advertised later.
     tracker.offer(configuration(20, Vec::new(), &[]));
     assert!(!tracker.is_outdated(at(67_899), span(2_000)));
     assert!(tracker.is_outdated(at(67_900), span(2_000)));
--- a/crates/core/tests/leadership.rs
+++ b/crates/core/tests/leadership.rs
@@ -1,4 +1,4 @@
-//! Who acts for all instances, through suspensions, cuts and lost answers.
+//! Leader election under suspensions, partitions and lost answers.
 
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
@@ -26,9 +26,9 @@
 }
 
 #[test]
-fn nobody_appends_before_having_read_the_topic() {
-    // A process starts anew while another is the steward. If it appended before it
-    // has read that, two would act in turns.
+fn no_process_appends_before_it_has_read_the_topic() {
+    // A process restarts while another is the leader. If it appended before reading
+    // the leader's record, the actions of the two would alternate.
     let mut state = state("one");
     assert!(!state.may_append(at(60_000)));
     state.note_record(at(60_000), LogOffset::new(7), writer("two"));
@@ -38,10 +38,10 @@
 }
 
 #[test]
-fn a_steward_that_was_suspended_does_not_act() {
-    // The steward's append stands, and then its instance stands still for five
-    // seconds. Somebody else is the steward when it wakes; the order that it was
-    // about to send would come from the past.
+fn a_leader_that_was_suspended_does_not_act() {
+    // The leader's append is stored, and then its instance is suspended for five
+    // seconds. Another process is the leader when it resumes, and the order that it
+    // was about to send is outdated.
     let mut state = state("one");
     state.note_end(LogOffset::START);
     let grant = state.appended(at(2_004), at(2_000), LogOffset::START);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_silent_steward_is_followed_after_its_last_act_and_the_lease() {
+fn an_unresponsive_leader_is_replaced_after_its_last_action_and_the_lease() {
     let mut state = state("one");
     state.note_record(at(1_000), LogOffset::new(3), writer("two"));
     let timeout = state.takeover_timeout();
@@ -61,13 +61,13 @@
     assert!(!state.may_append(due - TimeSpan::from_millis(1)));
     assert!(state.may_append(due));
     assert!(state.takeover_wait(at(1_000)) > timeout);
-    // A beat of the steward starts the wait anew.
+    // A heartbeat of the leader restarts the wait.
     state.note_record(due, LogOffset::new(4), writer("two"));
     assert!(!state.may_append(due + TimeSpan::from_millis(1_000)));
 }
 
 #[test]
-fn records_that_are_read_twice_change_nothing() {
+fn records_that_are_read_twice_are_ignored() {
     let mut state = state("one");
     state.note_record(at(0), LogOffset::new(3), writer("two"));
     state.note_record(at(100), LogOffset::new(4), writer("one"));
@@ -76,12 +76,12 @@
     assert_eq!(state.end(), Some(LogOffset::new(5)));
 }
 
-/// What happens to one of three processes next.
+/// The next event of one of three processes.
 #[derive(Clone, Debug)]
 struct Step {
     process: usize,
     wait: u64,
-    what: u8,
+    action: u8,
 }
 
 impl Arbitrary for Step {
@@ -89,41 +89,41 @@
         Step {
             process: usize::arbitrary(random) % 3,
             wait: u64::arbitrary(random) % if bool::arbitrary(random) { 150 } else { 1_500 },
-            what: u8::arbitrary(random) % 8,
+            action: u8::arbitrary(random) % 8,
         }
     }
 }
 
-/// The topic and three processes that stand for the stewardship.
-struct Stage {
+/// The topic and three processes that are candidates for leadership.
+struct Simulation {
     now: ClockTime,
     log: Vec<MeterWriter>,
     states: Vec<LeadershipState>,
     grants: Vec<Option<LeaderGrant>>,
-    acts: Vec<(ClockTime, usize, LogOffset)>,
+    actions: Vec<(ClockTime, usize, LogOffset)>,
 }
 
-impl Stage {
-    fn new() -> Stage {
+impl Simulation {
+    fn new() -> Simulation {
         let names = ["one", "two", "three"];
-        Stage {
+        Simulation {
             now: at(0),
             log: Vec::new(),
             states: names.iter().map(|name| state(name)).collect(),
             grants: vec![None; 3],
-            acts: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
-    fn play(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         self.now = self.now + TimeSpan::from_millis(step.wait);
         let process = step.process;
-        match step.what {
-            // Reads whatever stands there.
+        match step.action {
+            // Reads all new records.
             0..=2 => self.read(process),
-            // Appends; the answer may be lost, and then it reads before it goes on.
-            3..=5 => self.append(process, step.what == 5),
-            // Acts, if it still may; a suspended process comes here late.
+            // Appends. If the answer is lost, the process reads before it appends again.
+            3..=5 => self.append(process, step.action == 5),
+            // Acts, if the grant still allows it; a suspended process arrives here late.
             _ => self.act(process),
         }
     }
@@ -158,36 +158,38 @@
         if let Some(grant) = &self.grants[process]
             && grant.allows(self.now)
         {
-            self.acts.push((self.now, process, grant.fence));
+            self.actions.push((self.now, process, grant.fence));
         }
     }
 }
 
 #[test]
-fn holders_never_take_turns_and_fences_only_rise() {
-    // Three processes read, append and act at any time, are suspended for any time
-    // between two steps, and lose answers to appends that stand. The platform would
-    // see two of them act in turns, or an old fencing number after a newer one.
+fn leaders_never_alternate_and_fencing_numbers_only_rise() {
+    // Three processes read, append and act at random times, are suspended between two
+    // steps for random times, and lose answers to appends that were stored. Guards
+    // against actions of two leaders that alternate within a lease, and against an
+    // older fencing number after a newer one.
     fn check(steps: Vec<Step>) -> bool {
-        let mut stage = Stage::new();
+        let mut simulation = Simulation::new();
         for step in steps {
-            stage.play(&step);
+            simulation.apply(&step);
         }
-        let fences_rise = stage.acts.windows(2).all(|pair| {
+        let fences_rise = simulation.actions.windows(2).all(|pair| {
             pair[0].2 < pair[1].2 || (pair[0].2 == pair[1].2 && pair[0].1 == pair[1].1)
         });
-        let no_turns = stage
-            .acts
-            .iter()
-            .enumerate()
-            .all(|(place, (time, holder, _))| {
-                let later = &stage.acts[place + 1..];
-                let within = later.iter().take_while(|act| act.0.since(*time) < LEASE);
-                let holders: Vec<usize> = within.map(|act| act.1).collect();
-                let other = holders.iter().position(|other| other != holder);
-                other.is_none_or(|other| !holders[other..].contains(holder))
-            });
-        fences_rise && no_turns
+        let no_alternation =
+            simulation
+                .actions
+                .iter()
+                .enumerate()
+                .all(|(index, (time, leader, _))| {
+                    let later = &simulation.actions[index + 1..];
+                    let within = later.iter().take_while(|act| act.0.since(*time) < LEASE);
+                    let leaders: Vec<usize> = within.map(|act| act.1).collect();
+                    let other = leaders.iter().position(|other| other != leader);
+                    other.is_none_or(|other| !leaders[other..].contains(leader))
+                });
+        fences_rise && no_alternation
     }
     let tests = std::env::var("BLUEBELL_SEEDS")
         .ok()
