--- a/crates/core/src/leadership/mod.rs
+++ b/crates/core/src/leadership/mod.rs
@@ -1,19 +1,19 @@
 //! Leader election by conditional appends to a topic of the store.
 //!
-//! Usage reports, endpoint orders and engine orders are sent by one process at a
-//! time. The *leader* is the process that appended the last record of the topic,
-//! and the offset of that record is its fencing number: it rises with each record
-//! and is never shared by two processes. Before each action the leader appends a
-//! record, on the condition that the topic still ends where the leader has read it,
-//! and then acts within [`ACTION_WINDOW`] or not at all. A leader that was suspended,
-//! partitioned or slow therefore never acts on an outdated grant.
+//! Usage reports, endpoint orders and engine orders are one process's job at a
+//! time. The *leader* is the process that appended last to a topic of the store, and the
+//! offset of that record is its fencing number: it rises with each record, and no
+//! two processes have the same. Before each action the leader appends a record,
+//! on the condition that the topic still ends where it has read it, and then acts
+//! within [`ACTION_WINDOW`] or not at all. A leader that was suspended, partitioned
+//! or slow therefore never acts on an outdated grant.
 //!
 //! Another process takes over once no record was appended for the longest time that
 //! the leader's last action can lag behind its record, plus the lease. As no action
 //! falls into the lease before a takeover, actions of two leaders never alternate
 //! within one lease.
 //!
-//! Times are of a clock that keeps running while the process is suspended.
+//! Times are of a clock that goes on while the process is suspended.
 
 use serde::Serialize;
 
@@ -38,8 +38,7 @@
 /// How late a heartbeat may be before the leader is assumed to have failed.
 const HEARTBEAT_SLACK: TimeSpan = TimeSpan::from_millis(1_500);
 
-/// The difference between the delays of two candidates, which keeps them from
-/// appending all at the same time.
+/// How much longer each next candidate waits, so that they don't all append.
 const CANDIDATE_DELAY_STEP: TimeSpan = TimeSpan::from_millis(150);
 
 /// The number of different candidate delays.
@@ -116,7 +115,7 @@
         self.end
     }
 
-    /// Whether this process appended the last record.
+    /// Whether this process appended last.
     pub fn is_leader(&self) -> bool {
         self.last
             .as_ref()
@@ -148,8 +147,7 @@
         }
     }
 
-    /// How much longer this process waits before it may take over; zero if the topic
-    /// has no record.
+    /// How much longer this process waits before it takes over.
     pub fn takeover_wait(&self, now: ClockTime) -> TimeSpan {
         let silence = self.last.as_ref().map(|last| now.since(last.read_at));
         let slack = TimeSpan::from_millis(10);
--- a/crates/core/src/membership/freshness.rs
+++ b/crates/core/src/membership/freshness.rs
@@ -1,9 +1,8 @@
-//! How fresh a process's knowledge of the log is.
+//! The freshness of a process's copy of the log.
 //!
-//! A process that is cut off from the platform and from everybody who reads it
-//! cannot learn that a key was withdrawn. It can know how long that may have
-//! been so: the age of the last moment at which it knew the log's end and had
-//! applied everything before it.
+//! A process that is partitioned from the platform and from all of its readers receives
+//! no withdrawal of a key. It can bound for how long this may have been the case: by
+//! the time since it last knew the log's end and had applied everything before it.
 
 use std::collections::VecDeque;
 
@@ -14,23 +13,23 @@
     ids::LogOffset,
 };
 
-/// How many confirmations may wait for their entries to be applied.
+/// The maximum number of confirmations that wait for their entries to be applied.
 const PENDING_LIMIT: usize = 32;
 
-/// What a confirmation says: at `at`, on the reader's clock, the log ended at `end`.
+/// A confirmation that the log ended at `end` at the time `at`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEndConfirmation {
-    /// When.
+    /// The time, on the clock of the process that holds the confirmation.
     pub at: ClockTime,
-    /// The offset that the next append would get.
+    /// The end of the log, which is the offset of the next append.
     pub end: LogOffset,
 }
 
 impl LogEndConfirmation {
-    /// What a peer's heartbeat confirms. The peer sent it after it had received
-    /// what this process sent at `echoed`, and said that its own knowledge,
-    /// with everything before `next` applied, was `age` old. How long the
-    /// heartbeat travelled does not matter, and no two clocks are compared.
+    /// The confirmation in a peer's heartbeat. The peer sent it after it had received
+    /// what this process sent at `echoed`, and reported that its own confirmation, with
+    /// everything before `next` applied, was `age` old. The heartbeat's time in transit
+    /// does not matter, and no two clocks are compared.
     pub fn with_heartbeat(echoed: ClockTime, age: TimeSpan, next: LogOffset) -> LogEndConfirmation {
         LogEndConfirmation {
             at: echoed - age,
@@ -39,7 +38,7 @@
     }
 }
 
-/// What one process knows of the log's end.
+/// The log ends that were confirmed to one process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogFreshness {
     known_at: Option<ClockTime>,
@@ -47,26 +46,27 @@
 }
 
 impl LogFreshness {
-    /// Nothing known yet.
+    /// The state before any confirmation.
     pub fn new() -> LogFreshness {
         LogFreshness::default()
     }
 
-    /// Takes a confirmation; it counts once everything before its end is applied.
+    /// Records a confirmation, which takes effect once everything before its end has been
+    /// applied. `next` is the offset of the next entry to apply.
     pub fn confirm(&mut self, confirmation: LogEndConfirmation, next: LogOffset) {
         if self.known_at.is_some_and(|known| known >= confirmation.at) {
             return;
         }
         self.pending.push_back(confirmation);
         if self.pending.len() > PENDING_LIMIT {
-            // The oldest is the likeliest to be applied soon; the ones between
-            // it and the newest are the least use.
+            // The oldest takes effect first, and the newest is the freshest, so one in
+            // between is dropped.
             self.pending.remove(1);
         }
         self.advance(next);
     }
 
-    /// Notes that everything before `next` has been applied.
+    /// Records that everything before `next` has been applied.
     pub fn advance(&mut self, next: LogOffset) {
         let reached = self.pending.iter().filter(|pending| pending.end <= next);
         let newest = reached.map(|pending| pending.at).max();
@@ -76,8 +76,8 @@
             .retain(|pending| pending.end > next && Some(pending.at) > known_at);
     }
 
-    /// The age of the newest confirmed knowledge: no record that stood in the
-    /// log longer ago than this is missing. None if there never was any.
+    /// The age of the newest confirmation in effect: every record that was in the log
+    /// longer ago than this has been applied. `None` if there was no confirmation.
     pub fn age(&self, now: ClockTime) -> Option<TimeSpan> {
         self.known_at.map(|known_at| now.since(known_at))
     }
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -1,11 +1,13 @@
-//! What instances tell of themselves and pass on of others, in bounded heartbeats.
+//! Gossip in heartbeats of bounded size: the status that instances publish of themselves
+//! and relay of others.
 //!
-//! Every item carries its member's incarnation and a version that grows with
-//! each change. A receiver keeps the newest. A sender remembers per connection
-//! what it has sent and sends only what changed since, up to a number of bytes;
-//! what does not fit waits for a later one, in the order that [`super::lanes`]
-//! gives: presence before progress, and that before loads and shares. So growth of the fleet makes
-//! news of far instances slower and never makes heartbeats larger.
+//! Every item carries its member's incarnation and a version that rises with each
+//! change. A receiver keeps the newest. A sender records per connection what it has
+//! sent and sends only what changed since, up to a number of bytes. Items that do not
+//! fit wait for a later heartbeat, in the order that [`super::update_queues`] defines:
+//! presence before progress, and progress before loads and shares. A growing fleet
+//! therefore delays updates about instances of other domains, and never enlarges
+//! heartbeats.
 
 use std::collections::BTreeMap;
 
@@ -21,29 +23,29 @@
     units::{TokenCount, WorkCost},
 };
 
-/// The most endpoints, and the most organisations, that one instance tells of.
+/// The maximum number of endpoints, and of organisations, that one instance reports.
 pub const LOCAL_ITEM_LIMIT: usize = 64;
 
-/// Bytes of an item besides its names: versions, numbers and field tags.
+/// Bytes of an encoded item besides its names: versions, numbers and field tags.
 const ITEM_OVERHEAD: usize = 24;
 
-/// Where an instance runs and listens.
+/// The location, program and addresses of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberPresence {
-    /// Where it runs.
+    /// The failure domain that it runs in.
     pub failure_domain: FailureDomain,
-    /// What it runs.
+    /// The program that it runs.
     pub program: InstanceProgram,
-    /// Whether it stays.
+    /// Whether it is live or leaving.
     pub state: InstanceState,
-    /// Where it answers HTTP.
+    /// The address of its HTTP server, as `ip:port`.
     pub http_address: String,
-    /// Where it takes peer connections.
+    /// The address on which it accepts peer connections, as `ip:port`.
     pub peer_address: String,
 }
 
 impl MemberPresence {
-    /// The presence as an entry of the platform's list.
+    /// The presence of `instance` as an entry of the platform's list.
     pub fn listing(&self, instance: &InstanceId) -> InstanceListing {
         InstanceListing {
             instance: instance.clone(),
@@ -56,29 +58,29 @@
     }
 }
 
-/// What an item says of its member.
+/// The content of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GossipBody {
-    /// Where it runs.
+    /// The member's location, program and addresses.
     Presence(MemberPresence),
-    /// The offset of the next entry that it will apply.
+    /// The offset of the next log entry that the member will apply.
     Progress(LogOffset),
-    /// Its outstanding work at one endpoint; none at all once the work has ended.
+    /// The member's outstanding work at one endpoint; 0 requests once it has ended.
     Load(EndpointLoad),
-    /// Its work served for one organisation.
+    /// The work that the member has served for one organisation.
     Share(OrganisationShare),
 }
 
-/// One statement about one member.
+/// One versioned statement about one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipItem {
-    /// Whom it is about.
+    /// The instance that the item describes.
     pub member: InstanceId,
-    /// Which of that instance's processes: later ones have greater numbers.
+    /// The incarnation of that instance; later processes have greater numbers.
     pub incarnation: u64,
-    /// Greater for later statements of one process.
+    /// The version, which is greater for later statements of one process.
     pub version: u64,
-    /// What it says.
+    /// The content.
     pub body: GossipBody,
 }
 
@@ -140,7 +142,7 @@
     sent.get(key).is_none_or(|sent| *sent < stamp)
 }
 
-/// All statements that an instance knows, and what it has sent to whom.
+/// All items that an instance holds, and which of them it has sent over each connection.
 #[derive(Clone, Debug)]
 pub struct GossipTable {
     local: InstanceId,
@@ -152,7 +154,7 @@
 }
 
 impl GossipTable {
-    /// A table that knows nothing.
+    /// An empty table of the instance `local`, whose process has the number `incarnation`.
     pub fn new(local: InstanceId, incarnation: u64) -> GossipTable {
         GossipTable {
             local,
@@ -164,7 +166,8 @@
         }
     }
 
-    /// Sets what this instance tells of itself; only what changed counts as news.
+    /// Sets the items that this instance publishes of itself. Only changed items get a new
+    /// version.
     pub fn set_local(&mut self, presence: MemberPresence, next: LogOffset, status: &LocalStatus) {
         self.version += 1;
         self.put_local(GossipBody::Presence(presence));
@@ -184,7 +187,7 @@
         }
     }
 
-    /// Tells that work at endpoints which are no longer named has ended.
+    /// Publishes a load of 0 for endpoints that are no longer among `loads`.
     fn put_ended_loads(&mut self, loads: &[EndpointLoad]) {
         let ended: Vec<EndpointId> = self
             .member_items(&self.local)
@@ -222,7 +225,7 @@
         self.items.insert(key, item);
     }
 
-    /// Takes an item that came over `link`; answers whether it is news.
+    /// Merges an item received over `link`; returns whether it was newer than the held one.
     pub fn merge(&mut self, link: &InstanceId, item: &GossipItem) -> bool {
         let key = (item.member.clone(), ItemKey::new(&item.body));
         let stamp = (item.incarnation, item.version);
@@ -245,7 +248,7 @@
         true
     }
 
-    /// Forgets all that is known of `member`.
+    /// Removes all items about `member`.
     pub fn remove_member(&mut self, member: &InstanceId) {
         self.items.retain(|(of, _), _| of != member);
         for link_state in self.links.values_mut() {
@@ -253,16 +256,17 @@
         }
     }
 
-    /// Forgets what was sent over `link`.
+    /// Clears the record of what was sent over `link`.
     pub fn reset_link(&mut self, link: &InstanceId) {
         self.links.remove(link);
     }
 
-    /// What to send over `link` now, in about `budget` bytes.
+    /// Takes the items to send over `link` with the next heartbeat, in at most about
+    /// `budget` bytes; a first item that is larger is sent alone.
     pub fn heartbeat_items(&mut self, link: &InstanceId, budget: usize) -> Vec<GossipItem> {
         let mut link_state = self.links.remove(link).unwrap_or_default();
         self.fill(link, &mut link_state);
-        let mut left = budget;
+        let mut remaining = budget;
         let mut chosen: Vec<GossipItem> = Vec::new();
         while let Some((queue, key)) = link_state.queues.peek() {
             let item = self.items.get(key);
@@ -271,10 +275,10 @@
                 continue;
             };
             let bytes = item_bytes(item);
-            if bytes > left && !chosen.is_empty() {
+            if bytes > remaining && !chosen.is_empty() {
                 break;
             }
-            left = left.saturating_sub(bytes);
+            remaining = remaining.saturating_sub(bytes);
             let stamp = (item.incarnation, item.version);
             link_state.sent.insert(key.clone(), stamp);
             link_state.queues.pop(queue, true);
@@ -284,16 +288,15 @@
         chosen
     }
 
-    /// Fills the lanes that have run empty with what is unsent, own statements
-    /// first.
+    /// Fills the empty queues with unsent items, those about this instance first.
     fn fill(&self, link: &InstanceId, link_state: &mut LinkState) {
         let LinkState { sent, queues } = link_state;
         let is_unsent = |key: &MemberKey| {
             let item = self.items.get(key);
             item.is_some_and(|item| is_unsent(sent, key, item))
         };
-        let open = queues.open(self.changes, is_unsent);
-        if open.iter().all(|open| !open) {
+        let fillable = queues.fillable(self.changes, is_unsent);
+        if fillable.iter().all(|fillable| !fillable) {
             return;
         }
         let domain = self
@@ -303,7 +306,7 @@
         let local = local.map(|item| (item.member.clone(), ItemKey::new(&item.body)));
         for key in local {
             let queue = queue_index(key.1.kind(), true);
-            if open[queue] && is_unsent(&key) {
+            if fillable[queue] && is_unsent(&key) {
                 queues.push(queue, key);
             }
         }
@@ -319,7 +322,7 @@
                 member = Some(&key.0);
             }
             let queue = queue_index(key.1.kind(), is_same_domain);
-            if open[queue] && is_unsent(key) {
+            if fillable[queue] && is_unsent(key) {
                 queues.push(queue, key.clone());
             }
         }
@@ -334,7 +337,7 @@
             .map(|(_, item)| item)
     }
 
-    /// Where `member` runs, if it has told.
+    /// The presence of `member`, if it was received.
     pub fn presence(&self, member: &InstanceId) -> Option<&MemberPresence> {
         match &self.items.get(&(member.clone(), ItemKey::Presence))?.body {
             GossipBody::Presence(presence) => Some(presence),
@@ -342,7 +345,7 @@
         }
     }
 
-    /// The offset of the next entry that `member` will apply, if it has told.
+    /// The offset of the next log entry that `member` will apply, if it was received.
     pub fn progress(&self, member: &InstanceId) -> Option<LogOffset> {
         match &self.items.get(&(member.clone(), ItemKey::Progress))?.body {
             GossipBody::Progress(next) => Some(*next),
@@ -350,7 +353,7 @@
         }
     }
 
-    /// What is known of the work of `member`.
+    /// The state and work of `member`, as last received.
     pub fn status(&self, member: &InstanceId) -> LocalStatus {
         let mut status = LocalStatus::default();
         for item in self.member_items(member) {
--- a/crates/core/src/membership/links.rs
+++ b/crates/core/src/membership/links.rs
@@ -1,9 +1,9 @@
-//! Who keeps a connection to whom, and who reads the log from the platform.
+//! The plan of peer connections, and of which instances read the log from the platform.
 //!
-//! Every instance computes the plan from the members it knows, by rendezvous
-//! hashing, so those that know the same members plan the same connections.
-//! Where they don't, a connection more or less is kept for a while: all
-//! connections are accepted, so a difference costs speed and nothing else.
+//! Every instance computes the plan from its member table by rendezvous hashing, so
+//! instances with the same members plan the same connections. Where the tables differ,
+//! some connections are missing or superfluous for a while: all connections are
+//! accepted, so a difference delays messages and has no other effect.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,42 +11,42 @@
 
 use crate::ids::{FailureDomain, InstanceId};
 
-/// A failure domain of at most this many instances is fully connected.
+/// The maximum number of instances of a failure domain that are fully connected.
 pub const FULL_MESH_LIMIT: usize = 16;
 
-/// In a larger one, each reader serves about this many others.
+/// In a larger failure domain, the approximate number of instances per reader.
 const FOLLOWERS_PER_READER: usize = 8;
 
-/// The fewest instances per failure domain that read from the platform: with
-/// two, the loss of one delays nobody.
+/// The minimum number of readers in a failure domain: with two, the loss of one delays
+/// no instance.
 const MIN_READERS: usize = 2;
 
-/// Connections between each two failure domains.
+/// The number of connections between each pair of failure domains.
 const CROSS_DOMAIN_LINKS: usize = 2;
 
-/// A member as the plan needs to know it.
+/// A member, as an input of the plan.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PlanMember {
-    /// Where it runs.
+    /// The failure domain that it runs in.
     pub failure_domain: FailureDomain,
-    /// Which.
+    /// The instance.
     pub instance: InstanceId,
 }
 
-/// What one instance does for the relay.
+/// The connections of one instance and its part in reading the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LinkPlan {
     /// Whether it reads the log from the platform.
     pub is_reader: bool,
-    /// The readers of its failure domain that it takes the log from, best first.
+    /// The readers of its failure domain from which it fetches the log, preferred first.
     pub readers: Vec<InstanceId>,
-    /// Whom it is connected to.
+    /// The instances to which it keeps connections.
     pub neighbours: BTreeSet<InstanceId>,
 }
 
 impl LinkPlan {
-    /// The plan for `own` among `members` that are neither suspected nor
-    /// leaving; `own` is added if it is missing.
+    /// The plan for `local` among `members`, which must be neither suspected nor leaving;
+    /// `local` is added if it is missing.
     pub fn new(local: &PlanMember, members: &[PlanMember]) -> LinkPlan {
         let mut domains: BTreeMap<&FailureDomain, Vec<&InstanceId>> = BTreeMap::new();
         let all: BTreeSet<&PlanMember> = members.iter().chain([local]).collect();
@@ -120,7 +120,7 @@
     }
 }
 
-/// The `count` instances with the greatest hash together with `salt`.
+/// The `count` instances with the greatest hashes of their names with `salt`.
 fn highest_ranked<'a>(
     instances: &[&'a InstanceId],
     salt: &str,
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,10 +1,10 @@
-//! Which of our instances live, are suspected, or leave, and what they tell of
-//! their own work.
+//! Membership of the instances: which are alive, suspected or leaving, and the load that
+//! each reports.
 //!
 //! Two sources feed [`MemberTable`]: the platform's list, which lags, and direct
-//! heartbeats with [`GossipItem`]s. A direct heartbeat outweighs the list.
-//! [`LinkPlan`] says who keeps a connection to whom and who reads the log from
-//! the platform.
+//! heartbeats with [`GossipItem`]s. A direct heartbeat takes precedence over the list.
+//! [`LinkPlan`] decides which instances keep connections to each other and which of them
+//! read the log from the platform.
 
 mod freshness;
 mod gossip;
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -1,4 +1,4 @@
-//! What instances tell of themselves, to the platform's list and to peers.
+//! The status that instances report to the platform's list and to peers.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,7 +8,7 @@
     units::{TokenCount, WorkCost},
 };
 
-/// What an instance runs.
+/// The program that an instance runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceProgram {
@@ -27,14 +27,14 @@
     }
 }
 
-/// Whether an instance stays.
+/// Whether an instance is in service or shutting down.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// It runs.
+    /// The instance is in service.
     #[default]
     Live,
-    /// It is being shut down.
+    /// The instance is shutting down.
     Leaving,
 }
 
@@ -47,50 +47,50 @@
     }
 }
 
-/// One of our processes on the platform's list.
+/// An entry of the platform's list of instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceListing {
-    /// Which.
+    /// The id of the instance.
     pub instance: InstanceId,
-    /// Where.
+    /// The failure domain that it runs in.
     pub failure_domain: FailureDomain,
-    /// What it runs.
+    /// The program that it runs.
     pub program: InstanceProgram,
-    /// Whether it stays.
+    /// Whether it is live or leaving.
     pub state: InstanceState,
-    /// Where it answers HTTP, as `ip:port`.
+    /// The address of its HTTP server, as `ip:port`.
     pub http_address: String,
-    /// Where it takes peer connections, as `ip:port`.
+    /// The address on which it accepts peer connections, as `ip:port`.
     pub peer_address: String,
 }
 
-/// What one instance has outstanding at one endpoint.
+/// The outstanding work of one instance at one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointLoad {
-    /// The endpoint.
+    /// The id of the endpoint.
     pub endpoint: EndpointId,
-    /// Requests sent and not ended.
+    /// The number of requests that were sent and have not ended.
     pub requests: u64,
-    /// Tokens that those may still need.
+    /// The maximum number of tokens that these requests may still need.
     pub tokens: TokenCount,
 }
 
-/// What one instance has served one organisation since the instance started.
+/// The work that one instance has served for one organisation since its start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationShare {
-    /// The organisation.
+    /// The name of the organisation.
     pub organisation: OrganisationId,
     /// The cost of the work served.
     pub cost: WorkCost,
 }
 
-/// What an instance tells its peers of its own work.
+/// The state and work that an instance reports to its peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LocalStatus {
-    /// Whether it stays.
+    /// Whether it is live or leaving.
     pub state: InstanceState,
     /// Its outstanding work, by endpoint.
     pub loads: Vec<EndpointLoad>,
@@ -98,25 +98,26 @@
     pub shares: Vec<OrganisationShare>,
 }
 
-/// What an instance knows of a peer.
+/// A peer, as one instance's member table has it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerStatus {
-    /// Which.
+    /// The id of the peer.
     pub instance: InstanceId,
-    /// Where it runs.
+    /// The failure domain that it runs in.
     pub failure_domain: FailureDomain,
-    /// What it runs.
+    /// The program that it runs.
     pub program: InstanceProgram,
-    /// Whether it stays.
+    /// Whether it is live or leaving.
     pub state: InstanceState,
-    /// Whether nothing has been heard from it for longer than a heartbeat may take.
+    /// Whether no sign of it was received for longer than the time-out that applies.
     pub suspected: bool,
-    /// The offset of the next entry that it will apply, if it has told.
+    /// The offset of the next log entry that it will apply, if it was received.
     pub next_offset: Option<LogOffset>,
-    /// When it was last heard, directly or through others, on the reader's clock.
+    /// When a heartbeat of it or a relayed update about it was last received, on the
+    /// receiver's clock.
     #[serde(rename = "heard_at")]
     pub last_seen: Option<ClockTime>,
-    /// What it tells of its work; what did not fit is left out.
+    /// The work that it reports; items that exceed the gossip limits are missing.
     pub status: LocalStatus,
 }
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The table of known instances: who lives, who leaves, who is suspected.
+//! The table of known instances, and which of them are live, leaving or suspected.
 
 use std::collections::BTreeMap;
 
@@ -11,18 +11,20 @@
     },
 };
 
-/// How long a peer with a direct connection may be silent before it is suspected.
+/// How long a directly connected peer may send no heartbeat before it is suspected.
 pub const HEARTBEAT_TIMEOUT: TimeSpan = TimeSpan::from_secs(3);
 
-/// How long an instance that is heard of only through others may go unheard.
+/// How long an instance without a direct connection may be neither listed nor reported by
+/// peers before it is suspected.
 pub const RELAYED_TIMEOUT: TimeSpan = TimeSpan::from_secs(60);
 
-/// How long a peer to which a connection is wanted may take until it is first
-/// heard directly. Each of the two waits up to two seconds for the other to
-/// connect and a second for the connection; a heartbeat's time is left besides.
+/// How long a peer with a planned connection may take until its first direct heartbeat.
+/// Each side waits up to 2 s for the other one to connect, and 1 s for the connection;
+/// the rest allows for a heartbeat.
 pub const FIRST_HEARTBEAT_TIMEOUT: TimeSpan = TimeSpan::from_secs(6);
 
-/// How long an instance that nobody lists or hears is remembered.
+/// How long an instance stays in the table without being listed, relayed or seen
+/// directly.
 pub const MEMBER_RETENTION: TimeSpan = TimeSpan::from_secs(180);
 
 #[derive(Clone, Debug, Default)]
@@ -31,11 +33,11 @@
     listed_at: Option<ClockTime>,
     last_heartbeat: Option<ClockTime>,
     relayed_at: Option<ClockTime>,
-    /// Since when a direct connection has been wanted.
-    expected_at: Option<ClockTime>,
+    /// When a direct connection was first planned.
+    planned_at: Option<ClockTime>,
 }
 
-/// What one instance knows of the others.
+/// The other instances, as known to one instance.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     local: InstanceId,
@@ -44,7 +46,7 @@
 }
 
 impl MemberTable {
-    /// A table in which `own`, started as number `incarnation`, knows nobody yet.
+    /// An empty table of the instance `local`, whose process has the number `incarnation`.
     pub fn new(local: InstanceId, incarnation: u64) -> MemberTable {
         MemberTable {
             gossip: GossipTable::new(local.clone(), incarnation),
@@ -53,7 +55,8 @@
         }
     }
 
-    /// Takes the platform's list, which was read at `now`.
+    /// Applies the platform's list, which was read at `now`, and removes instances after
+    /// [`MEMBER_RETENTION`].
     pub fn update_listings(&mut self, now: ClockTime, listings: &[InstanceListing]) {
         for listing in listings.iter().filter(|l| l.instance != self.local) {
             let entry = self.entries.entry(listing.instance.clone()).or_default();
@@ -72,31 +75,31 @@
         });
     }
 
-    /// Takes items that the peer `from` sent with its heartbeat.
+    /// Handles a heartbeat of the peer `from` and merges its items.
     pub fn receive(&mut self, now: ClockTime, from: &InstanceId, items: &[GossipItem]) {
         self.entries.entry(from.clone()).or_default().last_heartbeat = Some(now);
         for item in items.iter().filter(|item| item.member != self.local) {
-            let news = self.gossip.merge(from, item);
-            if news && item.member != *from {
+            let is_newer = self.gossip.merge(from, item);
+            if is_newer && item.member != *from {
                 let entry = self.entries.entry(item.member.clone()).or_default();
                 entry.relayed_at = Some(now);
             }
         }
     }
 
-    /// Sets what this instance tells of itself.
+    /// Sets the items that this instance publishes of itself.
     pub fn set_local(&mut self, presence: MemberPresence, next: LogOffset, status: &LocalStatus) {
         self.gossip.set_local(presence, next, status);
     }
 
-    /// The items to send to `link` with the next heartbeat, in at most about
+    /// Takes the items to send to `link` with the next heartbeat, in at most about
     /// `budget` bytes.
     pub fn heartbeat_items(&mut self, link: &InstanceId, budget: usize) -> Vec<GossipItem> {
         self.gossip.heartbeat_items(link, budget)
     }
 
-    /// Notes that no direct connection to `instance` is wanted any more: its
-    /// silence then means nothing, and others tell of it.
+    /// Records that no direct connection to `instance` is planned any more: missing
+    /// heartbeats no longer count, and updates about it arrive through other peers.
     pub fn remove_link(&mut self, now: ClockTime, instance: &InstanceId) {
         if let Some(entry) = self.entries.get_mut(instance)
             && entry.last_heartbeat.take().is_some()
@@ -105,26 +108,26 @@
         }
     }
 
-    /// Notes to whom direct connections are wanted at `now`. A peer that was lost
-    /// before its connection stood has never been heard, so it can't fall silent;
-    /// the list would vouch for it long after.
-    pub fn set_expected_links(&mut self, now: ClockTime, wanted: &[InstanceId]) {
+    /// Records the instances to which direct connections are planned at `now`. A peer that
+    /// fails before its connection is established has never sent a heartbeat, so
+    /// [`HEARTBEAT_TIMEOUT`] can't detect it, and the list would show it for much longer.
+    pub fn set_expected_links(&mut self, now: ClockTime, planned: &[InstanceId]) {
         for (instance, entry) in &mut self.entries {
-            entry.expected_at = match wanted.contains(instance) {
-                true => entry.expected_at.or(Some(now)),
+            entry.planned_at = match planned.contains(instance) {
+                true => entry.planned_at.or(Some(now)),
                 false => None,
             };
         }
     }
 
-    /// Forgets what was sent to `link`: its connection is new.
+    /// Clears the record of what was sent to `link`, whose connection is new.
     pub fn reset_link(&mut self, link: &InstanceId) {
         self.gossip.reset_link(link);
     }
 
-    /// Whether `instance` should be given no new trust at `now`: a direct peer
-    /// that fell silent or was never reached, or one that neither the list nor peers
-    /// know lately.
+    /// Whether `instance` is suspected at `now`: a direct peer whose heartbeats stopped or
+    /// never arrived, or an instance that was neither listed nor reported by peers within
+    /// [`RELAYED_TIMEOUT`]. Unknown instances are suspected.
     pub fn is_suspected(&self, now: ClockTime, instance: &InstanceId) -> bool {
         let Some(entry) = self.entries.get(instance) else {
             return true;
@@ -132,25 +135,25 @@
         if let Some(last_heartbeat) = entry.last_heartbeat {
             return now.since(last_heartbeat) > HEARTBEAT_TIMEOUT;
         }
-        let is_overdue = |expected: ClockTime| now.since(expected) > FIRST_HEARTBEAT_TIMEOUT;
-        if entry.expected_at.is_some_and(is_overdue) {
+        let is_overdue = |planned: ClockTime| now.since(planned) > FIRST_HEARTBEAT_TIMEOUT;
+        if entry.planned_at.is_some_and(is_overdue) {
             return true;
         }
         let known = entry.listed_at.max(entry.relayed_at);
         known.is_none_or(|known| now.since(known) > RELAYED_TIMEOUT)
     }
 
-    /// Where `instance` runs and listens, as the list or its peers tell.
+    /// The location and addresses of `instance`, from gossip or else from the list.
     pub fn listing(&self, instance: &InstanceId) -> Option<InstanceListing> {
-        let told = self.gossip.presence(instance);
+        let presence = self.gossip.presence(instance);
         let entry = self.entries.get(instance)?;
-        match told {
-            Some(told) => Some(told.listing(instance)),
+        match presence {
+            Some(presence) => Some(presence.listing(instance)),
             None => entry.listing.clone(),
         }
     }
 
-    /// All known instances, this one left out.
+    /// All known instances except this one.
     pub fn listings(&self) -> Vec<InstanceListing> {
         self.entries
             .keys()
@@ -158,7 +161,7 @@
             .collect()
     }
 
-    /// What is known of every other instance, by instance.
+    /// The status of every other instance, by instance.
     pub fn peers(&self, now: ClockTime) -> Vec<PeerStatus> {
         self.entries
             .iter()
--- a/crates/core/src/membership/update_queues.rs
+++ b/crates/core/src/membership/update_queues.rs
@@ -1,36 +1,37 @@
-//! In which order news goes over one connection.
+//! The order in which updates are sent over one connection.
 //!
-//! Every instance's progress, loads and shares change with every second, so
-//! news of them never ends. Told in one turn with the rest, it would take the
-//! bytes that the presence of far members waits for, and nobody would know the
-//! whole fleet: one would notice it by members that are listed as known only
-//! after many minutes. So news stands in lanes by what it says and whom it is
-//! about, and lanes are served in turns. The better lanes have more turns, each
-//! lane has some, and a turn whose lane is empty goes to the next best one.
+//! Every instance's progress, loads and shares change every second, so there are always
+//! updates of them to send. In a single queue with the rest they would use the bytes
+//! that presence updates of other domains wait for, and no instance would have the
+//! complete fleet in its table until many minutes later. Updates are therefore queued by
+//! their kind and by whether their member is of the same failure domain, and the queues
+//! are served by weighted round robin. Queues of higher priority have more turns, each
+//! queue has some, and the turn of an empty queue goes to the next one in the order of
+//! that turn.
 
 use std::collections::VecDeque;
 
 use super::gossip::MemberKey;
 
-/// What news is about, the most urgent first.
+/// The kind of an update, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum UpdateKind {
-    /// Who lives, leaves, and where.
+    /// Liveness and location of a member.
     Presence,
-    /// How far the log has been applied.
+    /// How much of the log a member has applied.
     Progress,
-    /// Loads and shares.
+    /// Loads and shares of a member.
     Work,
 }
 
-/// How many kinds of news there are.
+/// The number of kinds of updates.
 pub(super) const KIND_COUNT: usize = 3;
 
-/// How many lanes there are: each kind's news of the own failure domain, and of
-/// others.
+/// The number of queues: two for each kind, for members of the same failure domain and of
+/// other domains.
 pub(super) const QUEUE_COUNT: usize = 2 * KIND_COUNT;
 
-/// Which kinds are looked through in each turn, in this order.
+/// The order in which the kinds are searched for an update in each turn.
 const KIND_ORDERS: [[UpdateKind; KIND_COUNT]; 8] = [
     [UpdateKind::Presence, UpdateKind::Progress, UpdateKind::Work],
     [UpdateKind::Presence, UpdateKind::Progress, UpdateKind::Work],
@@ -42,34 +43,34 @@
     [UpdateKind::Work, UpdateKind::Presence, UpdateKind::Progress],
 ];
 
-/// One round of all kinds' turns in this many looks at other failure domains
-/// first.
+/// One in this many rounds of [`KIND_ORDERS`] searches the queues of other failure
+/// domains first.
 const CROSS_DOMAIN_ROUND: usize = 3;
 
-/// Where news of `kind` about a member of the own failure domain, or another,
-/// stands.
+/// The queue for updates of `kind` about a member of the same failure domain, or of
+/// another one.
 pub(super) fn queue_index(kind: UpdateKind, is_same_domain: bool) -> usize {
     kind as usize * 2 + usize::from(!is_same_domain)
 }
 
-/// The kind of news that stands in `lane`.
+/// The kind of the updates in `queue`.
 pub(super) fn queue_kind(queue: usize) -> UpdateKind {
     [UpdateKind::Presence, UpdateKind::Progress, UpdateKind::Work][queue / 2]
 }
 
-/// The news that waits for one connection.
+/// The updates that wait to be sent over one connection.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UpdateQueues {
     waiting: [VecDeque<MemberKey>; QUEUE_COUNT],
-    seen: [u64; QUEUE_COUNT],
+    filled_at_change: [u64; QUEUE_COUNT],
     turn: usize,
 }
 
 impl UpdateQueues {
-    /// Drops the news at the front of each lane that `is_unsent` no longer holds
-    /// for, and answers which lanes are then to be filled, by how often the
-    /// news of each kind has changed.
-    pub(super) fn open<Check>(
+    /// Drops updates at the front of each queue for which `is_unsent` is false, and returns
+    /// which queues have to be filled: those that are empty and whose kind has changed
+    /// since they were last filled. `changes` counts the changes of each kind.
+    pub(super) fn fillable<Check>(
         &mut self,
         changes: [u64; KIND_COUNT],
         is_unsent: Check,
@@ -77,26 +78,26 @@
     where
         Check: Fn(&MemberKey) -> bool,
     {
-        let mut open = [false; QUEUE_COUNT];
+        let mut fillable = [false; QUEUE_COUNT];
         for (queue, waiting) in self.waiting.iter_mut().enumerate() {
             while waiting.front().is_some_and(|key| !is_unsent(key)) {
                 waiting.pop_front();
             }
             let changed = changes[queue_kind(queue) as usize];
-            if waiting.is_empty() && self.seen[queue] != changed {
-                self.seen[queue] = changed;
-                open[queue] = true;
+            if waiting.is_empty() && self.filled_at_change[queue] != changed {
+                self.filled_at_change[queue] = changed;
+                fillable[queue] = true;
             }
         }
-        open
+        fillable
     }
 
-    /// Puts news at the end of a lane.
+    /// Appends an update to `queue`.
     pub(super) fn push(&mut self, queue: usize, key: MemberKey) {
         self.waiting[queue].push_back(key);
     }
 
-    /// The news whose turn it is, with its lane.
+    /// The next update to send, with its queue.
     pub(super) fn peek(&self) -> Option<(usize, &MemberKey)> {
         let kinds = KIND_ORDERS[self.turn % KIND_ORDERS.len()];
         let same_domain_first =
@@ -110,10 +111,10 @@
             .next()
     }
 
-    /// Takes the news at the front of `lane` away and passes the turn on if it
-    /// `counts`.
-    pub(super) fn pop(&mut self, queue: usize, counts: bool) {
+    /// Removes the update at the front of `queue`, and advances the turn if the update
+    /// was sent.
+    pub(super) fn pop(&mut self, queue: usize, is_sent: bool) {
         self.waiting[queue].pop_front();
-        self.turn = self.turn.wrapping_add(usize::from(counts));
+        self.turn = self.turn.wrapping_add(usize::from(is_sent));
     }
 }
--- a/crates/core/src/relay/copies.rs
+++ b/crates/core/src/relay/copies.rs
@@ -1,10 +1,11 @@
-//! Fetching a version of the configuration that the reader advertises.
+//! Fetching the configuration version that the reader advertises.
 //!
-//! If every instance fetched a large configuration from the store, the store's
-//! bandwidth and the instances' links would be busy for longer than a version may
-//! take to be in force. So the reader of a failure domain publishes a compressed copy
-//! in a topic of our own and advertises its offset; the others fetch that. An instance
-//! that gets no offset in time, or can't read the copy, fetches the original.
+//! If every instance fetched a large configuration from the store, the transfers would
+//! saturate the store's bandwidth and the instances' links for longer than a version
+//! may take to be in force. The reader of a failure domain therefore publishes a
+//! compressed copy in a separate topic and advertises its offset, and the other
+//! instances fetch that copy. An instance that receives no offset in time, or can't
+//! read the copy, fetches the original.
 
 use crate::{
     clock::{ClockTime, TimeSpan},
@@ -12,44 +13,45 @@
     units::ByteSize,
 };
 
-/// The size from which a configuration is copied: fetching a smaller one is faster than
-/// making a copy.
+/// The minimum size of a configuration that is copied: fetching a smaller one is faster
+/// than making a copy.
 pub const COPY_THRESHOLD: ByteSize = ByteSize::new(128 * 1_024);
 
-/// How long an instance waits for the copy of an advertised version.
+/// How long an instance waits for the copy of an advertised version before it fetches
+/// the original.
 const COPY_TIMEOUT: TimeSpan = TimeSpan::from_millis(700);
 
-/// The position of a copy in the topic of copies.
+/// The location of a copy in the topic of copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CopyLocation {
     /// The offset of its first record.
     pub offset: LogOffset,
-    /// How many records it has.
+    /// The number of its records.
     pub records: u32,
-    /// Its size, all records together.
+    /// The total size of its records.
     pub size: ByteSize,
 }
 
 /// The state of the copy of the reader's version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CopyState {
-    /// No copy is made.
+    /// No copy exists or is being made.
     #[default]
     Absent,
-    /// It is being made.
+    /// The copy is being made.
     Pending,
-    /// It can be fetched.
+    /// The copy can be fetched.
     Available(CopyLocation),
 }
 
-/// Where to fetch a version that is missing here.
+/// The source from which to fetch a version that is missing here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionSource {
-    /// Nowhere yet; its copy is being made.
+    /// None yet, as the copy is being made.
     Pending,
-    /// From the copy.
+    /// The copy.
     Copy(CopyLocation),
-    /// From the operator's record.
+    /// The operator's record in the store.
     Original,
 }
 
@@ -64,27 +66,28 @@
     copy_failed: bool,
 }
 
-/// What a reader advertises.
+/// The configuration version that a reader advertises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionAdvertisement {
-    /// The version that it has in force.
+    /// The version that the reader has in force.
     pub version: u64,
-    /// When that was known to be the newest one, on the receiver's clock.
+    /// When this was known to be the newest version, on the receiver's clock.
     pub known_at: ClockTime,
-    /// The offset that the reader reads next; no newer version precedes it.
+    /// The offset that the reader reads next; no newer version lies before it.
     pub next: LogOffset,
     /// The copy of the version.
     pub copy: CopyState,
 }
 
 impl AdvertisedConfiguration {
-    /// No version yet.
+    /// The state before any version was advertised.
     pub fn new() -> AdvertisedConfiguration {
         AdvertisedConfiguration::default()
     }
 
-    /// Takes what the reader advertises. Returns whether a follower that waits has
-    /// something to do.
+    /// Records an advertisement of the reader; older versions are ignored. Returns
+    /// whether the version or the state of its copy has changed, so that a waiting
+    /// follower must be woken.
     pub fn note_advertisement(&mut self, now: ClockTime, received: VersionAdvertisement) -> bool {
         if received.version < self.version {
             return false;
@@ -107,32 +110,32 @@
         is_changed
     }
 
-    /// The version; 0 if there is none.
+    /// The advertised version; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// When the version was last known to be the newest one.
+    /// When the version was last known to be the newest.
     pub fn known_at(&self) -> ClockTime {
         self.known_at
     }
 
-    /// The offset from which an instance with `version` in force follows the log by
-    /// itself; nothing if it has another version and must fetch the newest one.
+    /// The offset from which an instance with `version` in force can follow the log
+    /// directly; `None` if it has another version and must fetch the newest one.
     pub fn resume_offset(&self, version: Option<u64>) -> Option<LogOffset> {
         let is_known = version == Some(self.version) && self.next > LogOffset::START;
         is_known.then_some(self.next)
     }
 
-    /// The copy could not be used; the original is fetched instead.
+    /// Records that the copy could not be used, so that the original is fetched instead.
     pub fn note_failed_copy(&mut self) {
         self.copy_failed = true;
     }
 
-    /// Where to fetch the version.
+    /// The source from which to fetch the advertised version at `now`.
     pub fn source(&self, now: ClockTime) -> VersionSource {
         match self.copy {
-            CopyState::Available(place) if !self.copy_failed => VersionSource::Copy(place),
+            CopyState::Available(location) if !self.copy_failed => VersionSource::Copy(location),
             CopyState::Pending if now.since(self.advertised_at) < COPY_TIMEOUT => {
                 VersionSource::Pending
             }
--- a/crates/core/src/relay/mod.rs
+++ b/crates/core/src/relay/mod.rs
@@ -1,15 +1,15 @@
 //! Sharing reads of the store within a failure domain.
 //!
-//! Each call to the store is priced and the calls of all instances together are
-//! limited, so not everybody can ask it all the time. In each failure domain one
-//! instance, the *reader*, follows the store and tells the others what changed
-//! and how fresh that is; they read for themselves as soon as its word is too old.
-//! A failure domain that is cut off from the others has its own reader.
+//! Each call to the store has a price, and the total call rate of all instances is
+//! limited, so the instances can't all poll it. In each failure domain one instance,
+//! the *reader*, follows the store and relays the changes and their freshness to the
+//! others; an instance reads the store directly once the relayed data is too old.
+//! A failure domain that is partitioned from the others has its own reader.
 //!
-//! What a word is worth is judged without comparing clocks: each instance sends a
-//! stamp of its own clock, and the reader's answer names the last stamp that it
-//! had received when it spoke. So a datagram that lay in a buffer while its
-//! receiver was suspended can't make old knowledge look fresh.
+//! The age of relayed data is computed without comparing clocks: each instance sends a
+//! timestamp of its own clock, and each message of the reader echoes the last timestamp
+//! that the reader had received when it sent the message. A datagram that waited in
+//! a buffer while its receiver was suspended therefore can't make old data look fresh.
 
 mod copies;
 
@@ -22,62 +22,63 @@
     ids::InstanceId,
 };
 
-/// How long it takes from noticing that a reader's word is too old to having read:
-/// looking a few times a second, and a read that has to be repeated once.
+/// The time from relayed data being too old until a direct read has completed: the age
+/// is checked a few times per second, and the read may have to be repeated once.
 const DIRECT_READ_TIME: TimeSpan = TimeSpan::from_millis(700);
 
-/// The shortest age at which a reader's word is too old: readers ask the store
-/// about twice a second, and their word takes some tenths of a second.
+/// The lower bound of [`relay_age_limit`]: readers poll the store about twice per
+/// second, and their messages arrive some tenths of a second later.
 const MIN_RELAY_AGE_LIMIT: TimeSpan = TimeSpan::from_millis(1_100);
 
-/// How old a reader's word may be, so that what it does not say is known in time
-/// all the same: a change that must have effect within `bound`.
+/// The maximum age of relayed data for changes that must take effect within `bound`:
+/// past it, a direct read still finds a change that was not relayed in time.
 pub fn relay_age_limit(bound: TimeSpan) -> TimeSpan {
     bound.less(DIRECT_READ_TIME).max(MIN_RELAY_AGE_LIMIT)
 }
 
-/// For how long two pictures of the endpoints may differ before the one who is
-/// told reads them whole: what is on its way makes them differ for a moment.
+/// How long the endpoint digests of an instance and its reader may differ before the
+/// instance reads all registrations: changes in transit cause short differences.
 pub const DIGEST_MISMATCH_TIMEOUT: TimeSpan = TimeSpan::from_millis(700);
 
-/// Whether `own` is the reader of its failure domain: of the instances there that
-/// are alive, the first by name.
-pub fn is_reader<'a, Alive>(own: &InstanceId, mut alive: Alive) -> bool
+/// Whether `local` is the reader of its failure domain, which is the first by name of
+/// the live instances there. `alive` yields the other ones.
+pub fn is_reader<'a, Alive>(local: &InstanceId, mut alive: Alive) -> bool
 where
     Alive: Iterator<Item = &'a InstanceId>,
 {
-    alive.all(|peer| own < peer)
+    alive.all(|peer| local < peer)
 }
 
-/// The stamp of ours that another instance names in its word: it had received it
-/// before it spoke.
+/// The last timestamp of this instance that another one had received before it sent its
+/// message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EchoedTimestamp {
-    /// Our clock when we sent it.
+    /// The time at which this instance sent the timestamp, on its own clock.
     pub sent: ClockTime,
 }
 
 impl EchoedTimestamp {
-    /// The time on our clock at which what the other says was true: it spoke after
-    /// it had received our stamp, of knowledge that was `age` old then.
+    /// The time on the local clock at which the message's data was known to be current:
+    /// the peer sent it after it had received the timestamp, when the data was `age` old.
     pub fn known_at(self, age: TimeSpan) -> ClockTime {
         self.sent - age
     }
 }
 
-/// Whether two pictures of the endpoints have differed for too long.
+/// Measures how long the endpoint digests of an instance and its reader have differed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DigestMismatchTimer {
     mismatch_since: Option<ClockTime>,
 }
 
 impl DigestMismatchTimer {
-    /// No difference seen.
+    /// A timer without an observed difference.
     pub fn new() -> DigestMismatchTimer {
         DigestMismatchTimer::default()
     }
 
-    /// Compares; answers whether the picture has to be read whole.
+    /// Compares the digests; returns whether all registrations have to be read because
+    /// the digests have differed for [`DIGEST_MISMATCH_TIMEOUT`].
     pub fn compare(&mut self, now: ClockTime, local: u64, reader: u64) -> bool {
         if local == reader {
             self.mismatch_since = None;
@@ -87,7 +88,7 @@
         now.since(since) >= DIGEST_MISMATCH_TIMEOUT
     }
 
-    /// The picture has been read whole.
+    /// Restarts the measurement after all registrations were read.
     pub fn reset(&mut self) {
         self.mismatch_since = None;
     }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is connected to whom, what heartbeats carry, and what silence means.
+//! Planned connections, gossip in heartbeats, suspicion of members, and log freshness.
 //!
 //! Schedules are random, from fixed seeds; `BLUEBELL_SEEDS=N` runs N seeds instead.
 
@@ -18,8 +18,8 @@
 use rand_chacha::ChaCha8Rng;
 
 fn seeds() -> u64 {
-    let asked = std::env::var("BLUEBELL_SEEDS").ok();
-    asked.and_then(|text| text.parse().ok()).unwrap_or(40)
+    let seeds = std::env::var("BLUEBELL_SEEDS").ok();
+    seeds.and_then(|text| text.parse().ok()).unwrap_or(40)
 }
 
 fn instance(name: &str) -> InstanceId {
@@ -62,10 +62,10 @@
     seen.len()
 }
 
-/// Instances that plan different connections would leave some without any, and a
-/// withdrawal would not reach those.
+/// If instances with the same members planned different connections, some could be left
+/// without any, and a withdrawal would not reach them.
 #[test]
-fn planned_connections_are_mutual_and_reach_everyone() {
+fn planned_connections_are_mutual_and_reach_all_instances() {
     for (domains, each) in [
         (1, 1),
         (1, 3),
@@ -89,8 +89,8 @@
     }
 }
 
-/// 350 instances that all read the log, or all talk to all, would take the
-/// platform's log and their own machines down.
+/// If all of 350 instances read the log, or each of them connected to all others, they
+/// would overload the platform's log and their own machines.
 #[test]
 fn a_large_fleet_keeps_few_connections_and_few_readers() {
     let plans = plans(&members(3, 117));
@@ -104,14 +104,14 @@
     }
 }
 
-/// A reader is lost: everybody must choose the next one alike, without asking.
+/// A reader is lost: all instances must choose the same next one without coordination.
 #[test]
 fn every_follower_has_a_reader_after_one_is_lost() {
     let mut members = members(1, 40);
     let lost = plans(&members)
         .into_iter()
         .find(|(_, plan)| plan.is_reader)
-        .expect("somebody reads");
+        .expect("a member reads");
     members.retain(|member| member.instance != lost.0);
     let plans = plans(&members);
     for plan in plans.values().filter(|plan| !plan.is_reader) {
@@ -137,11 +137,11 @@
     }
 }
 
-/// A heartbeat that grew with the fleet would use up the few kilobytes a second
-/// that control may take; one that left items out for good would let entries
-/// believe in load that has ended.
+/// Heartbeats that grow with the fleet would exceed the few kilobytes per second that are
+/// allowed for control traffic. If they left items out permanently, entries would count
+/// load that has ended.
 #[test]
-fn heartbeats_are_bounded_and_still_tell_everything_in_turn() {
+fn heartbeats_are_bounded_and_all_items_are_sent_in_turn() {
     let (a, b) = (instance("a"), instance("b"));
     let mut sender = GossipTable::new(a.clone(), 1);
     let mut receiver = GossipTable::new(b.clone(), 1);
@@ -170,10 +170,10 @@
     assert_eq!(receiver.status(&a).loads, Vec::new());
 }
 
-/// An instance is replaced under its old name. What its former process told is
-/// void, also where it arrives later over a slow path.
+/// An instance is replaced under the same name. The items of its former process are void,
+/// also where they arrive later over a slow path.
 #[test]
-fn an_earlier_process_does_not_speak_for_a_later_one() {
+fn items_of_an_earlier_process_do_not_replace_those_of_a_later_one() {
     let (a, b) = (instance("a"), instance("b"));
     let mut former = GossipTable::new(a.clone(), 1);
     let mut latter = GossipTable::new(a.clone(), 2);
@@ -188,10 +188,10 @@
     assert_eq!(receiver.status(&a).loads, Vec::new());
 }
 
-/// News travels over several connections, reordered and doubled; all instances
-/// must end with the same, newest picture.
+/// Updates arrive over several connections, reordered and duplicated. All instances must
+/// end with the same, newest state.
 #[test]
-fn news_reaches_everyone_whatever_the_order() {
+fn updates_reach_all_instances_in_any_order() {
     for seed in 0..seeds() {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let names: Vec<InstanceId> = ["a", "b", "c", "d"].map(instance).to_vec();
@@ -240,17 +240,18 @@
     }
 }
 
-/// Bytes of news that a heartbeat of the fleet below carries.
+/// Bytes of items in each heartbeat of [`TightFleet`].
 const TIGHT_BUDGET: usize = 80;
 
-/// Heartbeats in which everybody must know everybody.
+/// Rounds of heartbeats after which every instance must have the presence of all others.
 const PRESENCE_ROUNDS: u64 = 80;
 
-/// Heartbeats after which nobody may still go by what was told before them.
+/// Rounds of heartbeats after which no instance may still have progress or load from
+/// before [`PRESENCE_ROUNDS`].
 const WORK_ROUNDS: u64 = 400;
 
-/// Sixty instances of three failure domains, with news of loads and shares in
-/// each second that heartbeats have no room for.
+/// 60 instances in three failure domains. Their loads and shares change in each round by
+/// more than their heartbeats can carry.
 struct TightFleet {
     members: Vec<PlanMember>,
     plans: BTreeMap<InstanceId, LinkPlan>,
@@ -294,30 +295,30 @@
         }
     }
 
-    /// Of how many pairs of instances the first knows what `tell` looks for of
-    /// the second.
-    fn pairs<Tell>(&self, tell: Tell) -> usize
+    /// The number of pairs of instances for which the table of the first one satisfies
+    /// `check` about the second one.
+    fn pairs<Check>(&self, check: Check) -> usize
     where
-        Tell: Fn(&GossipTable, &InstanceId) -> bool,
+        Check: Fn(&GossipTable, &InstanceId) -> bool,
     {
         let tables = self.tables.values();
-        let known = |table| self.tables.keys().filter(|of| tell(table, of)).count();
+        let known = |table| self.tables.keys().filter(|of| check(table, of)).count();
         tables.map(known).sum()
     }
 }
 
-/// All instances start at once and are busy. Were their loads and shares told in
-/// one turn with the rest, an operator who asks any of them would not find most
-/// of the fleet; were they never told, entries would go by loads of long ago.
+/// All instances start at the same time and are busy. If loads and shares shared one queue
+/// with the rest, the status of any instance would lack most of the fleet for long. If
+/// they were never sent, entries would use outdated loads.
 #[test]
-fn busy_instances_know_the_fleet_soon_and_still_tell_their_work() {
+fn busy_instances_receive_all_presences_soon_and_still_receive_loads() {
     let mut fleet = TightFleet::new(7);
     let all = fleet.members.len() * fleet.members.len();
     for round in 1..=PRESENCE_ROUNDS {
         fleet.run(round);
     }
     let present = fleet.pairs(|table, of| table.presence(of).is_some());
-    assert_eq!(present, all, "pairs that know each other's presence");
+    assert_eq!(present, all, "pairs with the presence of the other");
     for round in PRESENCE_ROUNDS + 1..=WORK_ROUNDS {
         fleet.run(round);
     }
@@ -337,10 +338,10 @@
     presence("x").listing(&instance(name))
 }
 
-/// A peer is killed. The platform's list still shows it for many seconds; its
-/// silence on a direct connection tells sooner.
+/// A peer is killed. The platform's list still shows it for many seconds, while its
+/// missing heartbeats on a direct connection reveal the failure sooner.
 #[test]
-fn a_direct_peer_that_falls_silent_is_suspected_although_it_is_listed() {
+fn a_direct_peer_without_heartbeats_is_suspected_although_it_is_listed() {
     let peer = instance("peer");
     let mut table = MemberTable::new(instance("own"), 1);
     let start = ClockTime::from_millis(10_000);
@@ -354,12 +355,12 @@
     assert!(!table.is_suspected(later, &peer));
 }
 
-/// An instance is lost just after it appeared on the list, before everyone who is
-/// to keep a connection to it has one. Whoever never reached it hears nothing and
-/// misses nothing; the list and the others' words alone would let it pass for a
-/// reader of the log for a minute, and the failure domain has one reader too few.
+/// An instance fails just after it appeared on the list, before all planned connections
+/// to it are established. An instance that never reached it receives no heartbeat that
+/// could then be missing. By the list and the updates of others alone it would count as
+/// a reader of the log for a minute, and the failure domain would lack one reader.
 #[test]
-fn a_wanted_peer_that_is_never_reached_is_suspected_although_it_is_listed() {
+fn a_planned_peer_that_is_never_reached_is_suspected_although_it_is_listed() {
     let start = ClockTime::from_millis(5_000);
     let mut table = MemberTable::new(instance("own"), 1);
     let lost = instance("lost");
@@ -374,60 +375,63 @@
     table.set_expected_links(late, std::slice::from_ref(&lost));
     assert!(table.is_suspected(late, &lost));
     table.set_expected_links(late, &[]);
-    assert!(!table.is_suspected(late, &lost), "nobody waits for it");
+    assert!(
+        !table.is_suspected(late, &lost),
+        "no connection to it is planned"
+    );
     table.set_expected_links(late, std::slice::from_ref(&lost));
     table.receive(late, &lost, &[]);
     assert!(!table.is_suspected(late + HEARTBEAT_TIMEOUT, &lost));
 }
 
-/// A record stands in the log at a time; nobody who says that its knowledge is
-/// younger than that may be missing it. Otherwise a cut-off failure domain would
-/// go on admitting a withdrawn key while believing itself up to date.
+/// A process whose reported freshness is younger than a record must have applied the
+/// record. Otherwise a partitioned failure domain would keep admitting a withdrawn key
+/// while its state counts as fresh.
 #[test]
-fn knowledge_of_the_log_is_never_younger_than_it_claims() {
+fn the_reported_age_of_the_log_is_never_too_low() {
     for seed in 0..seeds() {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut fleet = KnowledgeFleet::new();
+        let mut fleet = FreshnessFleet::new();
         for _ in 0..400 {
             fleet.step(&mut random);
         }
-        assert!(fleet.claims > 50, "seed {seed}: {} claims", fleet.claims);
+        assert!(fleet.checks > 50, "seed {seed}: {} checks", fleet.checks);
     }
 }
 
-/// A reader A, a follower B, and messages that take their time. All times are the
-/// script's; each process's clock has an origin of its own.
-struct KnowledgeFleet {
+/// A reader A, a follower B, and messages with random delays. All times are simulated;
+/// each process's clock has a different origin.
+struct FreshnessFleet {
     time: u64,
-    stands_at: Vec<u64>,
+    appended_at: Vec<u64>,
     a: LogFreshness,
     a_next: u64,
     b: LogFreshness,
     b_next: u64,
     reads: Vec<(u64, u64, u64)>,
-    stamps: Vec<(u64, u64)>,
-    last_stamp: Option<u64>,
+    timestamps: Vec<(u64, u64)>,
+    last_timestamp: Option<u64>,
     heartbeats: Vec<(u64, u64, TimeSpan, u64)>,
-    claims: u64,
+    checks: u64,
 }
 
 const A_ORIGIN: u64 = 5_000_000;
 const B_ORIGIN: u64 = 80_000;
 
-impl KnowledgeFleet {
-    fn new() -> KnowledgeFleet {
-        KnowledgeFleet {
+impl FreshnessFleet {
+    fn new() -> FreshnessFleet {
+        FreshnessFleet {
             time: 10_000,
-            stands_at: Vec::new(),
+            appended_at: Vec::new(),
             a: LogFreshness::new(),
             a_next: 0,
             b: LogFreshness::new(),
             b_next: 0,
             reads: Vec::new(),
-            stamps: Vec::new(),
-            last_stamp: None,
+            timestamps: Vec::new(),
+            last_timestamp: None,
             heartbeats: Vec::new(),
-            claims: 0,
+            checks: 0,
         }
     }
 
@@ -442,27 +446,27 @@
     fn step(&mut self, random: &mut ChaCha8Rng) {
         self.time += random.random_range(1..200);
         match random.random_range(0..6) {
-            0 => self.stands_at.push(self.time),
-            // A asks for the log's end; the answer takes up to two seconds.
+            0 => self.appended_at.push(self.time),
+            // A reads the log's end; the answer takes up to 2 s.
             1 => {
-                let end = self.stands_at.len() as u64;
+                let end = self.appended_at.len() as u64;
                 let arrives = self.time + random.random_range(0..2_000);
                 self.reads.push((arrives, self.time, end));
             }
-            // B stamps a heartbeat to A.
+            // B sends a heartbeat with its timestamp to A.
             2 => self
-                .stamps
+                .timestamps
                 .push((self.time + random.random_range(0..1_500), self.time)),
-            // A sends a heartbeat to B.
+            // A sends a heartbeat to B that echoes B's last timestamp.
             3 => {
                 let age = self.a.age(self.a_now());
-                if let (Some(age), Some(stamp)) = (age, self.last_stamp) {
+                if let (Some(age), Some(timestamp)) = (age, self.last_timestamp) {
                     let arrives = self.time + random.random_range(0..3_000);
-                    self.heartbeats.push((arrives, stamp, age, self.a_next));
+                    self.heartbeats.push((arrives, timestamp, age, self.a_next));
                 }
             }
             // A and B apply entries.
-            4 => self.a_next = (self.a_next + 1).min(self.stands_at.len() as u64),
+            4 => self.a_next = (self.a_next + 1).min(self.appended_at.len() as u64),
             _ => self.b_next = (self.b_next + 2).min(self.a_next.max(self.b_next)),
         }
         self.deliver();
@@ -475,21 +479,24 @@
 
     fn deliver(&mut self) {
         let time = self.time;
-        for (_, asked, end) in self.reads.extract_if(.., |read| read.0 <= time) {
+        for (_, sent_at, end) in self.reads.extract_if(.., |read| read.0 <= time) {
             let confirmation = LogEndConfirmation {
-                at: ClockTime::from_millis(A_ORIGIN + asked),
+                at: ClockTime::from_millis(A_ORIGIN + sent_at),
                 end: LogOffset::new(end),
             };
             self.a.confirm(confirmation, LogOffset::new(self.a_next));
         }
-        for (_, stamp) in self.stamps.extract_if(.., |stamp| stamp.0 <= time) {
-            self.last_stamp = self.last_stamp.max(Some(stamp));
+        for (_, timestamp) in self
+            .timestamps
+            .extract_if(.., |timestamp| timestamp.0 <= time)
+        {
+            self.last_timestamp = self.last_timestamp.max(Some(timestamp));
         }
-        for (_, stamp, age, next) in self
+        for (_, timestamp, age, next) in self
             .heartbeats
             .extract_if(.., |heartbeat| heartbeat.0 <= time)
         {
-            let echoed = ClockTime::from_millis(B_ORIGIN + stamp);
+            let echoed = ClockTime::from_millis(B_ORIGIN + timestamp);
             let confirmation =
                 LogEndConfirmation::with_heartbeat(echoed, age, LogOffset::new(next));
             self.b.confirm(confirmation, LogOffset::new(self.b_next));
@@ -498,9 +505,9 @@
 
     fn check(&mut self, age: Option<TimeSpan>, next: u64) {
         let Some(age) = age else { return };
-        self.claims += 1;
+        self.checks += 1;
         let known_at = self.time.saturating_sub(age.as_millis());
-        let stood = self.stands_at.iter().filter(|at| **at < known_at).count() as u64;
-        assert!(stood <= next, "{stood} records stood, {next} applied");
+        let stored = self.appended_at.iter().filter(|at| **at < known_at).count() as u64;
+        assert!(stored <= next, "{stored} records stored, {next} applied");
     }
 }
