--- a/crates/core/src/authority/lease_manager.rs
+++ b/crates/core/src/authority/lease_manager.rs
@@ -1,5 +1,5 @@
-//! One controller's side of the leases: when it claims, renews, gives up, and
-//! until when it may act.
+//! The leases of one controller: when it claims, renews and releases them, and until when
+//! it may act under them.
 
 use std::collections::BTreeMap;
 
@@ -10,28 +10,28 @@
     records::{DutyName, LeaseAction, LeaseRecord},
 };
 
-/// How long leases run and how patient claimants are.
+/// The durations and waiting times of leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTiming {
     /// How long a lease runs from a claim or renewal.
     pub duration: TimeSpan,
-    /// How much longer everybody but the holder waits: covers clocks that run at
-    /// different rates.
+    /// How much longer every controller except the holder waits, to allow for clocks that
+    /// run at different rates.
     pub margin: TimeSpan,
-    /// How long after a claim or renewal the next renewal is sent.
+    /// The time from sending a claim or renewal to sending the next renewal.
     pub renew_after: TimeSpan,
-    /// How much longer each candidate waits than the one preferred before it.
+    /// How much longer each candidate waits than the candidate ranked before it.
     pub stagger: TimeSpan,
-    /// How long another candidate is preferred before the holder gives up a duty.
+    /// How long another candidate must be preferred before the holder releases a duty.
     pub handover_after: TimeSpan,
 }
 
-/// The authority to act for a duty, as far as this process may count on it.
+/// The authority of this process to act for a duty.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct DutyGrant {
     /// The duty.
     pub duty: DutyName,
-    /// The fencing number that goes with every order.
+    /// The fencing number that every order must carry.
     pub fence: LogOffset,
     /// When the claim was sent.
     pub claimed_at: ClockTime,
@@ -46,14 +46,14 @@
     }
 }
 
-/// A duty and this controller's place among those that could hold it.
+/// A duty and this controller's rank among the candidates for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyCandidacy {
     /// The duty.
     pub duty: DutyName,
-    /// The place, from 0.
+    /// The rank, from 0.
     pub rank: usize,
-    /// Whether an order of the duty is under way here, so that it is not given up.
+    /// Whether an order of the duty is in progress here, so that it is not handed over.
     pub busy: bool,
 }
 
@@ -72,7 +72,7 @@
     sent_at: ClockTime,
 }
 
-/// The leases of one controller.
+/// The leases that one controller holds or claims.
 #[derive(Clone, Debug)]
 pub struct LeaseManager {
     instance: InstanceId,
@@ -83,8 +83,8 @@
 }
 
 impl LeaseManager {
-    /// A keeper for the controller `me`, which holds nothing yet. What an earlier
-    /// process of the same name claimed is not its own.
+    /// A manager for the controller `instance`, which holds no lease yet. Leases that an
+    /// earlier process of the same name claimed are not taken over.
     pub fn new(instance: InstanceId, timing: LeaseTiming) -> LeaseManager {
         LeaseManager {
             instance,
@@ -95,9 +95,9 @@
         }
     }
 
-    /// The record to append for `seat` now, if any, by `leases` as they stand
-    /// before the entry `next`. The caller notes the time before it sends it and
-    /// tells the answer to [`DutyKeeper::appended`].
+    /// The record to append for `candidacy` now, if any. `leases` is the state before the
+    /// log entry `next`. The caller takes the time before it sends the record, and passes
+    /// it to [`LeaseManager::appended`] with the offset from the answer.
     pub fn next_record(
         &mut self,
         now: ClockTime,
@@ -119,8 +119,8 @@
         self.claim_record(now, held, candidacy)
     }
 
-    /// Takes over what became of the records sent: only what was read back in the
-    /// log as valid extends the authority.
+    /// Applies the outcome of the record that was sent: the authority is extended only by
+    /// a record that was read back from the log as valid.
     fn apply_sent_record(&mut self, duty: &DutyName, leases: &LeaseState, next: LogOffset) {
         let held = leases.held(duty);
         if let Some(local) = self.local.get(duty)
@@ -162,13 +162,14 @@
             0 => None,
             _ => Some(local.outranked_since.unwrap_or(now)),
         };
-        let kept = LocalLease {
+        let updated = LocalLease {
             outranked_since,
             ..local
         };
-        self.local.insert(candidacy.duty.clone(), kept);
-        let yields = outranked_since.is_some_and(|since| now >= since + self.timing.handover_after);
-        if yields && !candidacy.busy {
+        self.local.insert(candidacy.duty.clone(), updated);
+        let must_release =
+            outranked_since.is_some_and(|since| now >= since + self.timing.handover_after);
+        if must_release && !candidacy.busy {
             return self.release(&candidacy.duty);
         }
         let due = now >= local.sent_at + self.timing.renew_after;
@@ -214,22 +215,22 @@
         }
     }
 
-    /// Notes that a record sent at `sent_at` stands at `offset`. It counts once
-    /// it has been read back.
+    /// Records that a record sent at `sent_at` was stored at `offset`. It takes effect
+    /// once it has been read back.
     pub fn appended(&mut self, duty: &DutyName, sent_at: ClockTime, offset: LogOffset) {
         self.sent
             .insert(duty.clone(), SentRecord { offset, sent_at });
     }
 
-    /// Gives a duty up: the authority ends here at once, before the record that
-    /// says so is sent.
+    /// Releases a duty: the authority ends here at once, before the returned record is
+    /// sent.
     pub fn release(&mut self, duty: &DutyName) -> Option<LeaseRecord> {
         let local = self.local.remove(duty)?;
         self.sent.remove(duty);
         Some(self.record(duty, LeaseAction::Release { fence: local.fence }, None))
     }
 
-    /// Gives up everything.
+    /// Releases all duties; returns the records to append.
     pub fn release_all(&mut self) -> Vec<LeaseRecord> {
         let duties: Vec<DutyName> = self.local.keys().cloned().collect();
         duties
@@ -238,8 +239,8 @@
             .collect()
     }
 
-    /// The authority for `duty` at `now`, if this process has it: the log names
-    /// its own claim, and the lease has not run out by its own count.
+    /// The authority for `duty` at `now`, if this process has it: its claim is the current
+    /// one in the log, and the lease has not expired on its own clock.
     pub fn grant(&self, now: ClockTime, leases: &LeaseState, duty: &DutyName) -> Option<DutyGrant> {
         let local = self.local.get(duty)?;
         if now >= local.until || !leases.is_current(duty, local.fence) {
--- a/crates/core/src/authority/mod.rs
+++ b/crates/core/src/authority/mod.rs
@@ -1,15 +1,16 @@
-//! Who is in charge of which duty: leases in the log, with fencing.
+//! Leases for duties: which controller holds which duty, by records in the log, with
+//! fencing.
 //!
-//! A claim's offset is the fencing number of its holder. Whether a claim counts
-//! is decided by the log alone: it names the claim or renewal that it follows,
-//! and it counts only if that is still the last one at its own offset. Were
-//! readers to judge by their own clocks whether the former lease had run out,
-//! a slow reader and a quick one could name two holders for one duty.
+//! A claim's offset is the fencing number of its holder. The log alone decides whether a
+//! claim is valid: it names the claim or renewal that it follows, and is valid only if
+//! that is still the latest one at the claim's own offset. If readers decided by their
+//! own clocks whether the former lease had expired, a slow reader and a fast one could
+//! determine two holders of one duty.
 //!
-//! Clocks decide only when a process may *send*: the holder acts until the
-//! lease has run out since before its append was sent; a claimant waits until
-//! the lease has run out since it read the same record, plus a margin. Spans on
-//! one clock are compared with spans on another, never two times.
+//! Clocks decide only when a process may *send*: the holder acts until the lease has
+//! expired, counted from before its append was sent; a claimant waits until the lease
+//! has expired, counted from when it read the same record, plus a margin. Durations on
+//! one clock are compared with durations on another, but never times of two clocks.
 
 mod lease_manager;
 mod ranking;
@@ -28,22 +29,22 @@
     records::{CheckpointItem, DutyName, LeaseAction, LeaseRecord},
 };
 
-/// A lease as the log has it.
+/// A lease as recorded in the log.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct HeldLease {
-    /// Who holds the duty.
+    /// The controller that holds the duty.
     pub holder: InstanceId,
     /// The fencing number: the offset of the claim.
     pub fence: LogOffset,
     /// The offset of the claim or of the last renewal.
     pub latest: LogOffset,
-    /// How long it runs from `latest`.
+    /// How long the lease runs from `latest`.
     pub duration: TimeSpan,
-    /// When this reader read `latest`, on its own clock.
+    /// When this process read `latest`, on its own clock.
     pub read_at: ClockTime,
 }
 
-/// What the log says of all duties.
+/// The leases of all duties, as recorded in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct LeaseState {
     #[serde(serialize_with = "by_duty_name")]
@@ -61,27 +62,28 @@
 }
 
 impl LeaseState {
-    /// Nothing read yet.
+    /// The state before any record was read.
     pub fn new() -> LeaseState {
         LeaseState::default()
     }
 
-    /// The lease of `duty`, if anybody holds it.
+    /// The lease of `duty`, if it is held.
     pub fn held(&self, duty: &DutyName) -> Option<&HeldLease> {
         self.held.get(duty)
     }
 
-    /// All leases.
+    /// All leases, by duty.
     pub fn leases(&self) -> impl Iterator<Item = (&DutyName, &HeldLease)> {
         self.held.iter()
     }
 
-    /// Whether `fence` is the fencing number of the duty's holder.
+    /// Whether `fence` is the fencing number of the current holder of `duty`.
     pub fn is_current(&self, duty: &DutyName, fence: LogOffset) -> bool {
         self.held(duty).is_some_and(|lease| lease.fence == fence)
     }
 
-    /// Applies a record read at `offset` at the reader's time `now`.
+    /// Applies the record at `offset`, which this process read at `now`. Records that are
+    /// not valid at their offset are ignored.
     pub fn apply(&mut self, now: ClockTime, offset: LogOffset, record: &LeaseRecord) {
         match record.action {
             LeaseAction::Claim => self.claim(now, offset, record),
@@ -136,9 +138,9 @@
         self.held.iter().map(item).collect()
     }
 
-    /// Takes over an item of a checkpoint, unless a later record of the duty has
-    /// been read. The lease counts from now, as if just read: later than others
-    /// count it, so this reader claims no earlier than they would.
+    /// Restores a lease from a checkpoint item, unless a later record of the duty has been
+    /// read. The lease counts from `now` as if just read. Other processes count it from
+    /// earlier, so this process claims no earlier than they would.
     pub fn restore(&mut self, now: ClockTime, item: &CheckpointItem) {
         let CheckpointItem::Lease {
             lease,
--- a/crates/core/src/authority/ranking.rs
+++ b/crates/core/src/authority/ranking.rs
@@ -1,4 +1,4 @@
-//! Which controller should hold which duty, so that no one holds them all.
+//! The ranking of controllers for each duty, which spreads the duties over them.
 
 use std::collections::BTreeMap;
 
@@ -9,22 +9,22 @@
     records::DutyName,
 };
 
-/// A controller that could hold a duty.
+/// A controller that is eligible for duties.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DutyCandidate {
-    /// The controller.
+    /// The id of the controller.
     pub instance: InstanceId,
-    /// Where it runs.
+    /// The failure domain that it runs in.
     pub failure_domain: FailureDomain,
 }
 
-/// The place of `me`, from 0, among `candidates` for each of `duties`.
+/// The rank of `instance`, from 0, among `candidates` for each of `duties`.
 ///
-/// The order is that of rendezvous hashing, but one that has its even share of
-/// duties comes after those that don't: there are few duties, and by hashes alone
-/// one controller would now and then be first for all of them. For a failure
-/// domain's engines its own controllers come before all others: they still reach
-/// the engines when the domain is cut off.
+/// The order is that of rendezvous hashing, except that a controller which has its even
+/// share of duties ranks after those that don't: there are few duties, and by hashes
+/// alone one controller would sometimes be first for all of them. For the engines of a
+/// failure domain, controllers of that domain rank before all others, because they still
+/// reach the engines when the domain is partitioned.
 pub fn duty_ranks(
     duties: &[DutyName],
     instance: &InstanceId,
--- a/crates/core/src/publication/mod.rs
+++ b/crates/core/src/publication/mod.rs
@@ -1,9 +1,9 @@
-//! Configuration in force, by the reader's rule over publish records.
+//! The configuration in force, computed from publish records in the order of the log.
 //!
-//! A publish names for each unit the version it was made from. It is accepted
-//! only if all of those are still current at its offset, so of two operators
-//! that race the first in the log wins and the second gets a refusal that
-//! names the winner. Versions are offsets, and nothing applies an older one.
+//! A publish names, for each unit, the version that it is based on. It is accepted only
+//! if all of these are still current at its offset, so of two racing operators the first
+//! in the log wins, and the second receives a refusal that names the winner. Versions
+//! are offsets, and an older one is never applied.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,53 +16,53 @@
     records::{CheckpointItem, PublishRecord, UnitChange},
 };
 
-/// A unit in force, or the memory of a removed one.
+/// The current version of a unit, or the version that removed it.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct UnitVersion {
-    /// The offset of the publish that it came with.
+    /// The offset of the publish record.
     pub version: LogOffset,
-    /// Who published it.
+    /// The publisher.
     pub publisher: String,
-    /// The content; none if the unit was removed.
+    /// The content; `None` if the unit was removed.
     pub body: Option<UnitBody>,
 }
 
 /// Why a publish record was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PublishRefusal {
-    /// Another publish of the same unit came first.
+    /// Another publish changed the unit since the version that this one is based on.
     #[error(
         "`{unit}` was changed by `{winner}` at version {current} since the publish was prepared"
     )]
     Stale {
         /// The unit.
         unit: UnitName,
-        /// Who changed it.
+        /// The publisher of that change.
         winner: String,
         /// The version in force.
         current: LogOffset,
     },
-    /// The content is not of the kind that the unit's name says.
-    #[error("`{unit}` has content of another kind")]
+    /// The content is of another kind than the unit's name.
+    #[error("the content of `{unit}` is of another kind than its name")]
     WrongKind {
         /// The unit.
         unit: UnitName,
     },
-    /// The publish was made from a version that the log never held.
-    #[error("`{unit}` is changed from version {base}, which was never in force")]
+    /// The publish is based on a version that never was in the log.
+    #[error("`{unit}` is changed based on version {base}, which was never in force")]
     UnknownBase {
         /// The unit.
         unit: UnitName,
         /// The version that the publish names.
         base: LogOffset,
     },
-    /// The record changes a unit twice.
+    /// The record changes the same unit twice.
     #[error("`{unit}` is changed twice by one publish")]
     DuplicateChange {
         /// The unit.
         unit: UnitName,
     },
-    /// Two units would hold one key, and whose requests it admits would depend
+    /// Two units would hold the same key, and the organisation that it admits would depend
     /// on their names.
     #[error("`{unit}` holds the same key as `{holder}`")]
     DigestTaken {
@@ -82,13 +82,17 @@
 }
 
 impl ConfigurationState {
-    /// No configuration at all.
+    /// An empty configuration.
     pub fn new() -> ConfigurationState {
         ConfigurationState::default()
     }
 
-    /// Applies a publish record read at `offset`, as a whole or not at all; answers
-    /// the keys that admit nobody, or somebody else, from now on.
+    /// Applies the publish record at `offset`, either completely or not at all. Returns
+    /// the keys that no longer admit the organisation that they admitted before.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the record is refused; the configuration is unchanged.
     pub fn apply(
         &mut self,
         offset: LogOffset,
@@ -117,8 +121,8 @@
             self.release_digest(&change.unit);
             self.put(change.unit.clone(), version);
         }
-        // A unit that hands its key to another of the same record has been
-        // released after the other took it.
+        // If a key moves between units of this record, releasing the old unit's digest may
+        // have removed the new unit's entry, so all digests are assigned again.
         for change in &record.changes {
             self.assign_digest(&change.unit, change.body.as_ref());
         }
@@ -134,7 +138,7 @@
         }
     }
 
-    /// The organisation that a key is granted to, whether or not it was withdrawn.
+    /// The organisation that a key is granted to, whether or not the key was withdrawn.
     pub fn organisation_of(&self, digest: &KeyDigest) -> Option<&OrganisationId> {
         let key = self.key_of(self.holders.get(digest)?)?;
         Some(&key.organisation)
@@ -211,8 +215,8 @@
         })
     }
 
-    /// The configuration as checkpoint items. Removed units are among them: one
-    /// that is made anew must not be taken for one that never was.
+    /// The configuration as checkpoint items, including removed units: a unit that is
+    /// created again must not count as one that never existed.
     pub fn checkpoint(&self) -> Vec<CheckpointItem> {
         let item = |(unit, version): (&UnitName, &UnitVersion)| CheckpointItem::Unit {
             unit: unit.clone(),
@@ -223,7 +227,7 @@
         self.units.iter().map(item).collect()
     }
 
-    /// Takes over a checkpoint item, if it is a unit.
+    /// Restores a unit from a checkpoint item; other items are ignored.
     pub fn restore(&mut self, item: &CheckpointItem) {
         if let CheckpointItem::Unit {
             unit,
@@ -241,12 +245,12 @@
         }
     }
 
-    /// The unit as it is in force, removed ones included.
+    /// The current version of a unit, also if it was removed.
     pub fn unit(&self, name: &UnitName) -> Option<&UnitVersion> {
         self.units.get(name)
     }
 
-    /// All units, removed ones included, by name.
+    /// All units by name, including removed ones.
     pub fn units(&self) -> impl Iterator<Item = (&UnitName, &UnitVersion)> {
         self.units.iter()
     }
@@ -256,7 +260,7 @@
         self.units.get(&name)?.body.as_ref()
     }
 
-    /// The service of this name.
+    /// The service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceUnit> {
         match self.body(UnitKind::Service, name.as_str())? {
             UnitBody::Service(service) => Some(service),
@@ -264,7 +268,7 @@
         }
     }
 
-    /// The organisation of this name.
+    /// The organisation with this name.
     pub fn organisation(&self, name: &OrganisationId) -> Option<&OrganisationUnit> {
         match self.body(UnitKind::Organisation, name.as_str())? {
             UnitBody::Organisation(organisation) => Some(organisation),
@@ -272,12 +276,12 @@
         }
     }
 
-    /// Whether rules say that a call of `service` may be repeated: the longest
-    /// matching prefix decides, and without any match it may not.
+    /// Whether the rules allow a call of `service` to be repeated. The rule with the longest
+    /// matching path prefix decides; without a matching rule the call may not be repeated.
     pub fn is_repeatable(&self, service: &ServiceName, method: &str, path: &str) -> bool {
         let first = Included(UnitName::first_of(UnitKind::Rule));
-        let units_after_first = self.units.range((first, Unbounded));
-        let rules = units_after_first.map_while(|(name, unit)| match &unit.body {
+        let from_first_rule = self.units.range((first, Unbounded));
+        let rules = from_first_rule.map_while(|(name, unit)| match &unit.body {
             Some(UnitBody::Rule(rule)) => Some(Some(rule)),
             _ => (name.kind() == UnitKind::Rule).then_some(None),
         });
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -1,4 +1,4 @@
-//! Leases: who is in charge, as the log and the clocks tell.
+//! Leases: which controller holds a duty, by the log and by the clocks.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -42,7 +42,7 @@
     LogOffset::new(number)
 }
 
-/// Claims at `at` and reads the claim back at once, as the record `offset(0)`.
+/// A manager that claimed at `at` and read the claim back at once as record 0.
 fn claimed(name: &str, at: u64) -> (LeaseManager, LeaseState) {
     let mut manager = manager(name);
     let mut leases = LeaseState::new();
@@ -54,11 +54,11 @@
     (manager, leases)
 }
 
-/// Two controllers claim a duty that has run out. One reader gets to the log at
-/// once, another a minute later. If they judged by their own clocks, callers'
-/// engines would get orders from two holders.
+/// Two controllers claim a duty whose lease has expired. One process reads the log at
+/// once, another a minute later. If they decided by their own clocks, the engines would
+/// receive orders from two holders.
 #[test]
-fn readers_that_read_at_different_times_name_the_same_holder() {
+fn processes_that_read_at_different_times_determine_the_same_holder() {
     let claim = |holder: &str, supersedes: Option<u64>| LeaseRecord {
         duty: DutyName::Fleet,
         holder: instance(holder),
@@ -82,24 +82,28 @@
         let mut leases = LeaseState::new();
         let holders = records.iter().enumerate().map(|(index, record)| {
             leases.apply(millis(index as u64 * spacing), offset(index as u64), record);
-            let held = leases.held(&DutyName::Fleet).expect("somebody holds it");
+            let held = leases.held(&DutyName::Fleet).expect("the duty is held");
             (held.holder.to_string(), held.fence)
         });
         holders.collect::<Vec<_>>()
     };
-    let named: Vec<String> = fold(0).into_iter().map(|(holder, _)| holder).collect();
-    assert_eq!(named, ["a", "a", "a", "a", "c", "c"]);
+    let holders: Vec<String> = fold(0).into_iter().map(|(holder, _)| holder).collect();
+    assert_eq!(holders, ["a", "a", "a", "a", "c", "c"]);
     assert_eq!(fold(0), fold(60_000));
 }
 
-/// A renewal reaches the log at once, but its sender is held up and reads it
-/// back only seconds later. A successor counts from when it read the record; if
-/// the holder counted from its late reading, both would be in charge.
+/// A renewal reaches the log at once, but its sender is delayed and reads it back only
+/// seconds later. A successor counts from when it read the record; if the holder counted
+/// from its own late read, both would hold the duty.
 #[test]
 fn the_holder_counts_from_before_its_append_was_sent() {
     let (mut holder, mut leases) = claimed("a", 0);
     let renewal = holder.next_record(millis(2_000), &leases, offset(1), &candidacy(0, false));
-    leases.apply(millis(6_500), offset(1), &renewal.expect("it is due"));
+    leases.apply(
+        millis(6_500),
+        offset(1),
+        &renewal.expect("the renewal is due"),
+    );
     holder.appended(&DutyName::Fleet, millis(2_000), offset(1));
     let none = holder.next_record(millis(6_500), &leases, offset(2), &candidacy(0, true));
     assert!(none.is_some_and(|next| matches!(next.action, LeaseAction::Renew { .. })));
@@ -112,10 +116,10 @@
     assert!(!granted(8_000));
 }
 
-/// The holder's clock runs a tenth slower than the claimant's. Without a margin
-/// the claimant would be in charge while the holder still is.
+/// The holder's clock runs a tenth slower than the claimant's. Without a margin, the
+/// claimant would take the duty while the holder still acts under its lease.
 #[test]
-fn a_claimant_waits_longer_than_a_slow_clock_counts() {
+fn a_claimant_waits_longer_than_the_lease_on_a_slow_clock() {
     let (holder, leases) = claimed("a", 0);
     let mut claimant = manager("b");
     let slow = |time: u64| millis(time * 9 / 10);
@@ -123,7 +127,7 @@
         let record = claimant.next_record(millis(*time), &leases, offset(1), &candidacy(0, false));
         record.is_some()
     });
-    let first_claim = first_claim.expect("the lease runs out");
+    let first_claim = first_claim.expect("the lease expires");
     assert!(
         holder
             .grant(slow(first_claim), &leases, &DutyName::Fleet)
@@ -136,8 +140,8 @@
     );
 }
 
-/// A process is killed and another of the same name starts. It must not take its
-/// predecessor's lease for its own: an order of the predecessor may be under way.
+/// A process is killed and another one of the same name starts. It must not take over its
+/// predecessor's lease, because an order of the predecessor may be in progress.
 #[test]
 fn a_process_does_not_act_under_its_predecessors_claim() {
     let (_, leases) = claimed("a", 0);
@@ -151,16 +155,16 @@
     );
 }
 
-/// A controller stops acting before it tells others that it gives a duty up.
+/// A controller must stop acting before it publishes that it releases a duty.
 #[test]
-fn a_duty_is_given_up_here_before_the_log_says_so() {
+fn the_authority_ends_before_the_release_is_in_the_log() {
     let (mut holder, leases) = claimed("a", 0);
     assert_eq!(holder.release_all().len(), 1);
     assert!(holder.grant(millis(1), &leases, &DutyName::Fleet).is_none());
 }
 
 #[test]
-fn a_holder_hands_over_to_the_preferred_candidate_unless_it_is_busy() {
+fn a_holder_releases_to_the_preferred_candidate_unless_it_is_busy() {
     let (mut holder, leases) = claimed("a", 0);
     let mut record_at = |at: u64, busy: bool| {
         let record = holder.next_record(millis(at), &leases, offset(1), &candidacy(1, busy));
@@ -174,7 +178,7 @@
 }
 
 #[test]
-fn duties_spread_and_engines_stay_with_their_failure_domain() {
+fn duties_are_spread_and_engines_stay_with_their_failure_domain() {
     let domains = ["se-a", "se-b", "se-c"].map(|d| FailureDomain::new(d).expect("valid"));
     let candidates: Vec<DutyCandidate> = (0..9)
         .map(|index| DutyCandidate {
@@ -191,7 +195,11 @@
     for candidate in &candidates {
         for (duty, rank) in duty_ranks(&duties, &candidate.instance, &candidates) {
             if rank == 0 {
-                assert_eq!(first.insert(duty, candidate), None, "two are first");
+                assert_eq!(
+                    first.insert(duty, candidate),
+                    None,
+                    "two candidates are first for one duty"
+                );
             }
         }
     }
@@ -199,7 +207,7 @@
     assert_eq!(
         holders.len(),
         duties.len(),
-        "somebody is first for two duties"
+        "a candidate is first for two duties"
     );
     for domain in domains {
         let duty = DutyName::Engines(domain.clone());
--- a/crates/core/tests/publication.rs
+++ b/crates/core/tests/publication.rs
@@ -1,4 +1,4 @@
-//! Publishes that race, units that come back, keys that two units want.
+//! Racing publishes, units that are created again, and keys claimed by two units.
 
 use bluebell_core::{
     clock::ClockTime,
@@ -10,14 +10,14 @@
     view::{FleetView, ViewEvent},
 };
 
-struct LogScript {
+struct TestLog {
     view: FleetView,
     sequence: u64,
 }
 
-impl LogScript {
-    fn new() -> LogScript {
-        LogScript {
+impl TestLog {
+    fn new() -> TestLog {
+        TestLog {
             view: FleetView::new(),
             sequence: 0,
         }
@@ -92,12 +92,11 @@
     }
 }
 
-/// Two operators change the weight of one organisation at the same time, each
-/// from the same version. If both counted, the one who published first would see
-/// their change undone without a word.
+/// Two operators change the weight of one organisation at the same time, each based on the
+/// same version. If both were accepted, the first change would be undone silently.
 #[test]
-fn the_second_of_two_racing_publishes_is_refused_and_told_the_winner() {
-    let mut log = LogScript::new();
+fn the_second_of_two_racing_publishes_is_refused_and_names_the_winner() {
+    let mut log = TestLog::new();
     log.publish("ada", vec![organisation("one", None, 1)])
         .expect("new");
     log.publish("ben", vec![organisation("one", Some(0), 2)])
@@ -108,12 +107,12 @@
     assert_eq!(log.weight("one"), Some(2));
 }
 
-/// A publish of several units loses the race for one of them. If the rest came
-/// into force, a key could admit callers to an organisation with other limits
-/// than its operator checked.
+/// A publish of several units loses the race for one of them. If the other units came into
+/// force, a key could admit callers to an organisation with other limits than its
+/// operator had checked.
 #[test]
-fn a_refused_publish_changes_nothing_at_all() {
-    let mut log = LogScript::new();
+fn a_refused_publish_changes_no_unit() {
+    let mut log = TestLog::new();
     log.publish("ada", vec![organisation("one", None, 1)])
         .expect("new");
     let changes = vec![organisation("two", None, 5), organisation("one", None, 3)];
@@ -121,12 +120,12 @@
     assert_eq!(log.weight("two"), None);
 }
 
-/// An operator removes an organisation and another one makes it anew, while a
-/// third still holds a change of the old one. If the removal were forgotten, the
-/// third would bring back what was removed.
+/// An operator removes an organisation and another one creates it again, while a third
+/// holds an unpublished change of the old one. If the removal were not kept, the third
+/// would restore what was removed.
 #[test]
-fn a_unit_made_anew_remembers_its_versions() {
-    let mut log = LogScript::new();
+fn a_unit_that_is_created_again_continues_its_versions() {
+    let mut log = TestLog::new();
     log.publish("ada", vec![organisation("one", None, 1)])
         .expect("new");
     log.publish("ben", vec![removal(UnitKind::Organisation, "one", 0)])
@@ -134,26 +133,26 @@
     log.publish("cleo", vec![organisation("one", None, 7)])
         .expect_err("a removed unit has a version");
     log.publish("cleo", vec![organisation("one", Some(0), 7)])
-        .expect_err("version 0 is over");
+        .expect_err("version 0 was replaced");
     log.publish("cleo", vec![organisation("one", Some(1), 7)])
-        .expect("made from the removal");
+        .expect("based on the removal");
     assert_eq!(log.weight("one"), Some(7));
 }
 
-/// A command prepared against another platform's log is sent to this one.
+/// A command that was prepared against the log of another platform is sent to this one.
 #[test]
-fn a_version_that_the_log_never_held_is_refused() {
-    let mut log = LogScript::new();
+fn a_publish_based_on_an_unknown_version_is_refused() {
+    let mut log = TestLog::new();
     let refusal = log.publish("ada", vec![organisation("one", Some(9), 1)]);
     assert!(matches!(refusal, Err(PublishRefusal::UnknownBase { .. })));
 }
 
-/// Two operators grant one key to two organisations under two unit names, so
-/// neither publish is stale. If both counted, a caller's requests would run for
-/// whichever name sorts last.
+/// Two operators grant one key to two organisations under two unit names, so neither
+/// publish is stale. If both were accepted, a caller's requests would run for the
+/// organisation whose unit name sorts last.
 #[test]
-fn two_units_never_hold_one_key() {
-    let mut log = LogScript::new();
+fn two_units_never_hold_the_same_key() {
+    let mut log = TestLog::new();
     log.publish("ada", vec![key("a", None, "one", "secret")])
         .expect("new");
     let refusal = log.publish("ben", vec![key("b", None, "two", "secret")]);
@@ -163,27 +162,28 @@
     assert!(log.publish("ben", both).is_err());
 }
 
-/// A key moves from one unit to another in one publish: it goes on admitting.
+/// A key moves from one unit to another in one publish, and continues to admit.
 #[test]
 fn a_key_may_move_between_units_of_one_publish() {
-    let mut log = LogScript::new();
+    let mut log = TestLog::new();
     log.publish("ada", vec![key("b", None, "one", "secret")])
         .expect("new");
     let moved = vec![
         key("a", None, "one", "secret"),
         removal(UnitKind::Key, "b", 0),
     ];
-    log.publish("ada", moved).expect("the holder goes");
+    log.publish("ada", moved)
+        .expect("the former holder is removed");
     assert_eq!(log.admits("secret").as_deref(), Some("one"));
     let refusal = log.publish("ben", vec![key("z", None, "two", "secret")]);
     assert!(matches!(refusal, Err(PublishRefusal::DigestTaken { .. })));
 }
 
-/// A key is withdrawn and later published again by someone who has not heard of
-/// it. Whoever stole it must stay out.
+/// A key is withdrawn because it was stolen, and later published again by an operator who
+/// is unaware of the withdrawal. It must not admit again.
 #[test]
 fn a_withdrawn_key_stays_withdrawn_whatever_is_published() {
-    let mut log = LogScript::new();
+    let mut log = TestLog::new();
     log.publish("ada", vec![key("a", None, "one", "secret")])
         .expect("new");
     let events = log.append(LogRecord::Withdraw(WithdrawRecord {
@@ -197,12 +197,12 @@
     assert_eq!(log.admits("secret"), None);
 }
 
-/// A publish gives a key to another organisation while a request with it runs.
-/// The running work belongs to the organisation before and is ended; new work
-/// runs for the new one.
+/// A publish grants a key to another organisation while a request with it runs. The
+/// running work belongs to the former organisation and is ended; new work runs for the
+/// new one.
 #[test]
-fn a_key_that_changes_its_organisation_ends_the_work_of_the_first() {
-    let mut log = LogScript::new();
+fn a_key_that_changes_its_organisation_ends_the_work_of_the_former_one() {
+    let mut log = TestLog::new();
     log.publish("ada", vec![key("a", None, "one", "secret")])
         .expect("new");
     let changes = vec![key("a", Some(0), "two", "secret")];
@@ -213,11 +213,11 @@
     assert_eq!(log.admits("secret").as_deref(), Some("two"));
 }
 
-/// The log has forgotten records that a reader still needs. Going on from the
-/// next that is kept would lose what they said, and nobody would notice.
+/// The log no longer has records that a reader still needs. Continuing from the oldest
+/// retained one would silently skip their changes.
 #[test]
 fn an_entry_beyond_a_gap_is_not_applied() {
-    let mut log = LogScript::new();
+    let mut log = TestLog::new();
     log.publish("ada", vec![organisation("one", None, 1)])
         .expect("new");
     let entry = LogEntry {
