--- a/crates/ingress/src/context.rs
+++ b/crates/ingress/src/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of an entry share.
+//! State shared by all parts of an entry.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -23,107 +23,109 @@
     peers::PeerTable, steward::ToldUsage,
 };
 
-/// How much sooner than the operators ask a key stops working that nothing has
-/// been heard of: clocks drift, and a request takes some ms to get here.
+/// Subtracted from the time that the operators allow between the withdrawal of a key and
+/// its rejection: clocks drift, and a request takes a few ms to arrive.
 const WITHDRAWAL_MARGIN: TimeSpan = TimeSpan::from_millis(250);
 
-/// How much sooner than it has to be in force everywhere a newer version that is not
-/// here yet ends the use of the one in force: what was first heard of it was that late.
-const TOLD_DELAY: TimeSpan = TimeSpan::from_millis(1_000);
+/// Subtracted from the time within which a newer configuration has to be in force
+/// everywhere: its first advertisement may arrive here that late. Afterwards the older
+/// configuration is no longer used here, even if the newer one has not been read yet.
+const ADVERTISEMENT_DELAY: TimeSpan = TimeSpan::from_millis(1_000);
 
-/// The share of the extra of the retry budget that is given out: instances that
-/// have just started know of others before those know of them.
-const EXTRA_USED: f64 = 0.8;
+/// The fraction of the extra retries allowed to all entries together that the entries
+/// divide among them. The rest is a reserve, because an instance that has just started
+/// takes its share before the others count it when they compute theirs.
+const EXTRA_BUDGET_SHARE: f64 = 0.8;
 
-/// How long an endpoint that failed is left alone first. Replicas that crash are
-/// back after some 4 s.
+/// Duration of the first ejection of a failed endpoint. Crashed replicas are available
+/// again after some 4 s.
 const FIRST_EJECTION: TimeSpan = TimeSpan::from_millis(1_000);
 
-/// The longest ejection: a few replicas carry a whole service.
-const LONGEST_EJECTION: TimeSpan = TimeSpan::from_millis(8_000);
+/// Maximum duration of an ejection: a service may consist of only a few replicas.
+const MAX_EJECTION: TimeSpan = TimeSpan::from_millis(8_000);
 
-/// How long a returning endpoint takes to get its full share.
+/// Time until an endpoint receives its full share of requests after an ejection.
 const SLOW_START: TimeSpan = TimeSpan::from_millis(2_000);
 
-/// A mutex whose data stays usable if a holder panicked: each slice keeps its own
-/// invariants between calls.
+/// A mutex whose value stays usable after a holder panicked: each of the shared types
+/// keeps its own invariants between calls.
 #[derive(Debug, Default)]
-pub struct Shared<Data>(Mutex<Data>);
+pub struct Shared<Value>(Mutex<Value>);
 
-impl<Data> Shared<Data> {
-    /// Wraps `data`.
-    pub fn new(data: Data) -> Shared<Data> {
+impl<Value> Shared<Value> {
+    /// Wraps `data` in a mutex.
+    pub fn new(data: Value) -> Shared<Value> {
         Shared(Mutex::new(data))
     }
 
-    /// Locks; never held across a wait.
-    pub fn lock(&self) -> MutexGuard<'_, Data> {
+    /// Locks the value. The guard must not be held across an `await`.
+    pub fn lock(&self) -> MutexGuard<'_, Value> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// What the reader of the failure domain has told, and how fresh the endpoints are.
+/// State relayed by the reader of the failure domain, and freshness of the endpoints.
 #[derive(Debug, Default)]
 pub struct RelayedState {
     /// The newest version of the configuration that the reader advertised.
     pub configuration: AdvertisedConfiguration,
-    /// The offset that this instance reads next; older records are known.
+    /// The offset of the next configuration record to read; older ones have been read.
     pub configuration_next: LogOffset,
-    /// When the picture of the endpoints was last known to be whole.
+    /// When the list of endpoints was last known to be complete.
     pub endpoints_synced_at: Option<ClockTime>,
-    /// Whether our picture of the endpoints differs from the reader's.
+    /// Tracks whether the local list of endpoints differs from the reader's.
     pub difference: DifferenceWatch,
-    /// Whether the endpoints have to be read whole.
+    /// Whether all endpoints must be read again from the store.
     pub must_resync: bool,
 }
 
-/// Everything that requests, followers and duties share.
+/// State shared by requests, background tasks and duties.
 #[derive(Debug)]
 pub struct EntryContext {
-    /// What the platform told this instance.
+    /// The settings that the platform provides to this instance.
     pub settings: InstanceSettings,
-    /// The clock that goes on while the instance is suspended.
+    /// The clock that advances also while the instance is suspended.
     pub clock: ClockSource,
-    /// This start of this instance, as others see it.
+    /// Identifies this instance and this start of its process to others.
     pub writer: MeterWriter,
-    /// The store.
+    /// The client of the store.
     pub store: StoreClient,
-    /// Control calls to engines.
+    /// The client for control calls to engines.
     pub engine_client: EngineClient,
     /// The configuration in force.
     pub configuration: Shared<ConfigurationBelief>,
-    /// The endpoints.
+    /// The registered endpoints.
     pub directory: Shared<EndpointDirectory>,
-    /// The engines' queues and memories.
+    /// The queues and the memory use of the engines.
     pub engines: Shared<EngineBooks>,
-    /// What requests ask of engines, here and at the other entries.
+    /// The demand of requests on engines, here and at the other entries.
     pub demands: Shared<DemandBoard>,
-    /// The replicas of plain services.
+    /// The state of the replicas of plain services.
     pub replicas: Shared<ReplicaBooks>,
-    /// The budget of repeats.
+    /// The retry budget.
     pub budget: Shared<SharedBudget>,
-    /// Counts for usage windows.
+    /// The usage of organisations per usage window.
     pub meter: Shared<UsageMeter>,
-    /// The other instances.
+    /// The other entry instances.
     pub peers: Shared<PeerTable>,
-    /// What the reader of the failure domain has told.
+    /// The state relayed by the reader of the failure domain.
     pub relayed: Shared<RelayedState>,
-    /// The copy of the configuration that this instance publishes for the others.
+    /// The cached copy of the configuration that this instance publishes for the others.
     pub published_copy: Shared<PublishedCopy>,
-    /// What other entries of the failure domain counted and is not published.
+    /// Unpublished usage reported by other entries of the failure domain.
     pub peer_usage: Shared<ToldUsage>,
-    /// Wakes the followers of the store, and the talk with other instances.
+    /// Wakes the tasks that follow the store and that send messages to peers.
     pub wake: Notify,
-    /// Connections to endpoints.
+    /// Idle connections to endpoints.
     pub pools: ConnectionPools,
-    /// Counters.
+    /// The metrics of the process.
     pub metrics: EntryMetrics,
-    /// Set when the process is asked to end: nothing is begun that can wait.
+    /// Cancelled when the process is asked to stop; no deferrable work starts afterwards.
     pub stopping: CancellationToken,
 }
 
 impl EntryContext {
-    /// An entry that knows nothing yet.
+    /// Creates the state of an entry that has neither configuration nor endpoints yet.
     pub fn new(
         settings: InstanceSettings,
         clock: ClockSource,
@@ -133,7 +135,7 @@
     ) -> EntryContext {
         let routing = RoutingSettings {
             eject_first: FIRST_EJECTION,
-            eject_most: LONGEST_EJECTION,
+            eject_most: MAX_EJECTION,
             slow_start: SLOW_START,
             ..RoutingSettings::default()
         };
@@ -173,16 +175,16 @@
         }
     }
 
-    /// The time now.
+    /// The current time of the entry's clock.
     pub fn now(&self) -> ClockTime {
         self.clock.now()
     }
 
-    /// Takes this entry's part of the repeats that all entries have together. Those
-    /// that are known but silent count as well: they may be cut off and use theirs.
-    /// An entry that does not know the others yet takes nothing beside what its own
-    /// requests earn: were each of many new entries to take the whole, together they
-    /// would send that many times what the operators allow.
+    /// Updates this entry's share of the extra retries allowed to all entries together.
+    /// Known but unresponsive entries count as well: they may be partitioned and still
+    /// use their share. An entry that has not discovered the others yet uses only the
+    /// retries earned by its own requests: if each of many new entries used the total,
+    /// they would exceed the operators' limit by a factor of their number.
     pub fn update_budget_share(&self) {
         let peers = self.peers.lock();
         if !peers.is_whole(self.now()) {
@@ -193,22 +195,22 @@
         let extra = f64::from(self.settings.bounds.retry_extra);
         self.budget
             .lock()
-            .set_extra(EXTRA_USED * extra / entries as f64);
+            .set_extra(EXTRA_BUDGET_SHARE * extra / entries as f64);
     }
 
-    /// How old knowledge of keys may be.
+    /// Maximum age of the list of withdrawn keys while keys are accepted.
     pub fn max_key_age(&self) -> TimeSpan {
         self.settings.bounds.withdrawal.less(WITHDRAWAL_MARGIN)
     }
 
-    /// Whether the configuration in force has been replaced for so long that nothing
-    /// may be decided by it any more.
+    /// Whether the configuration in force has been superseded for so long that requests
+    /// may no longer be served under it.
     pub fn configuration_is_outdated(&self, now: ClockTime) -> bool {
-        let limit = self.settings.bounds.configuration.less(TOLD_DELAY);
+        let limit = self.settings.bounds.configuration.less(ADVERTISEMENT_DELAY);
         self.configuration.lock().is_outdated(now, limit)
     }
 
-    /// Whether requests with keys may be served.
+    /// Whether requests with API keys may be served.
     pub fn keys_are_fresh(&self, now: ClockTime) -> bool {
         let limit = self.max_key_age();
         !self.settings.bounds.fail_closed || self.configuration.lock().is_fresh(now, limit)
--- a/crates/ingress/src/hop_headers.rs
+++ b/crates/ingress/src/hop_headers.rs
@@ -1,11 +1,11 @@
-//! Headers that concern one connection only and go no further.
+//! Hop-by-hop headers, which apply to a single connection and are not forwarded.
 
 use hyper::{
     HeaderMap,
     header::{CONNECTION, HeaderName, TRANSFER_ENCODING},
 };
 
-/// The headers that always concern one connection only.
+/// The headers that are always hop-by-hop.
 const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     TRANSFER_ENCODING,
@@ -18,15 +18,15 @@
     hyper::header::UPGRADE,
 ];
 
-/// Whether the header always concerns one connection only.
+/// Whether the header is always hop-by-hop.
 pub fn is_hop_by_hop(name: &HeaderName) -> bool {
     HOP_BY_HOP_HEADERS.contains(name)
 }
 
-/// The headers that `Connection` names besides, in lower case.
+/// Returns the further hop-by-hop headers that `Connection` lists, in lower case.
 pub fn connection_options(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all(CONNECTION).iter();
-    let texts = values.filter_map(|value| value.to_str().ok());
-    let names = texts.flat_map(|text| text.split(','));
+    let text_values = values.filter_map(|value| value.to_str().ok());
+    let names = text_values.flat_map(|text| text.split(','));
     names.map(|name| name.trim().to_ascii_lowercase()).collect()
 }
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -1,11 +1,11 @@
 //! The program of an entry instance on the users' platform.
 //!
-//! Every instance runs one process with everything: it takes callers' requests
-//! ([`frontend`]), sends them to endpoints ([`forward`]), follows configuration and
-//! endpoints in the store ([`believe`]), talks to the
-//! other instances ([`peers`]) and, while it holds the stewardship,
-//! reports usage and orders endpoints ([`steward`]). The decisions are slices of
-//! `bluebell-core`; names and formats of the platform are in `bluebell-adapter`.
+//! Every instance runs one process, which accepts requests of callers ([`frontend`]),
+//! forwards them to endpoints ([`forward`]), follows the configuration and the endpoints
+//! in the store ([`believe`]), exchanges messages with the other instances ([`peers`])
+//! and, while it is the leader, reports usage and orders endpoints ([`steward`]). The
+//! decision logic is in `bluebell-core`; names and formats of the platform are in
+//! `bluebell-adapter`.
 
 pub mod believe;
 mod compression;
--- a/crates/ingress/src/logs.rs
+++ b/crates/ingress/src/logs.rs
@@ -1,10 +1,9 @@
-//! Logs that never hold up a request.
+//! Logging that never blocks a request.
 //!
-//! Lines are put into a bounded buffer, which a task writes to standard output
-//! some times a second. Whoever reads that output may be slow; were a line
-//! written at once, a full pipe would stop the whole process with all its
-//! requests. Lines that don't fit are dropped and counted, and the count is
-//! written as soon as there is room.
+//! Lines are appended to a bounded buffer, which a task writes to standard output several
+//! times a second. The reader of that output may be slow; if lines were written directly,
+//! a full pipe would block the whole process with all its requests. Lines that do not fit
+//! are dropped and counted, and the count is written with the next lines.
 
 use std::{
     io::Write as _,
@@ -21,11 +20,11 @@
 
 use crate::time::wall_time;
 
-/// The most bytes that wait to be written: some seconds of lines at full load.
-const BUFFER_LIMIT: usize = 512 * 1_024;
+/// Maximum size of the buffer in bytes: some seconds of lines at full load.
+const MAX_BUFFER_BYTES: usize = 512 * 1_024;
 
-/// How often the buffer is written. A process that is killed loses the lines of
-/// this time at most.
+/// Interval between writes of the buffer. A killed process loses at most the lines of this
+/// interval.
 const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Default)]
@@ -34,15 +33,16 @@
     dropped: u64,
 }
 
-/// The buffer that lines wait in.
+/// The buffer for lines that are not written yet; clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct LogBuffer {
     lines: Arc<Mutex<LineBuffer>>,
 }
 
 impl LogBuffer {
-    /// Takes what waits, with a line on what was dropped.
-    fn take(&self) -> Vec<u8> {
+    /// Removes and returns the buffered lines, followed by a line with the number of
+    /// dropped lines if there are any.
+    fn take_pending(&self) -> Vec<u8> {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         let mut bytes = mem::take(&mut lines.bytes);
         let dropped = mem::take(&mut lines.dropped);
@@ -56,9 +56,10 @@
         bytes
     }
 
-    /// Writes what waits. A failing standard output leaves nowhere to tell it.
-    pub fn write_out(&self) {
-        let bytes = self.take();
+    /// Writes the buffered lines to standard output. Errors are ignored, as there is no
+    /// other place to report them.
+    pub fn write_pending(&self) {
+        let bytes = self.take_pending();
         if bytes.is_empty() {
             return;
         }
@@ -66,12 +67,12 @@
         let _ = output.write_all(&bytes).and_then(|()| output.flush());
     }
 
-    /// Writes what waits, time and again, on a thread that may block.
-    pub async fn write_regularly(self) {
+    /// Writes the buffered lines periodically, on a thread that may block.
+    pub async fn write_periodically(self) {
         loop {
             tokio::time::sleep(WRITE_INTERVAL).await;
             let buffer = self.clone();
-            let written = tokio::task::spawn_blocking(move || buffer.write_out()).await;
+            let written = tokio::task::spawn_blocking(move || buffer.write_pending()).await;
             if written.is_err() {
                 return;
             }
@@ -82,7 +83,7 @@
 impl Append for LogBuffer {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        if lines.bytes.len() >= BUFFER_LIMIT {
+        if lines.bytes.len() >= MAX_BUFFER_BYTES {
             lines.dropped += 1;
             return Ok(());
         }
@@ -94,16 +95,17 @@
     fn flush(&self) {}
 }
 
-/// Installs the process's logger.
+/// Installs the logger of the process with the given level; libraries log errors only.
+/// Fails if a logger is already installed.
 pub fn install(level: LevelFilter) -> anyhow::Result<LogBuffer> {
     let buffer = LogBuffer::default();
-    let quiet = |name: &str| Logger::builder().build(name, LevelFilter::Error);
+    let errors_only = |name: &str| Logger::builder().build(name, LevelFilter::Error);
     let config = Config::builder()
         .appender(Appender::builder().build("buffer", Box::new(buffer.clone())))
-        .logger(quiet("rocket"))
-        .logger(quiet("_"))
-        .logger(quiet("hyper"))
-        .logger(quiet("reqwest"))
+        .logger(errors_only("rocket"))
+        .logger(errors_only("_"))
+        .logger(errors_only("hyper"))
+        .logger(errors_only("reqwest"))
         .build(Root::builder().appender("buffer").build(level))?;
     log4rs::init_config(config)?;
     Ok(buffer)
--- a/crates/ingress/src/main.rs
+++ b/crates/ingress/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of an entry instance.
+//! Binary of an entry instance.
 
 use std::process::ExitCode;
 
--- a/crates/ingress/src/metrics.rs
+++ b/crates/ingress/src/metrics.rs
@@ -1,25 +1,25 @@
-//! Counters and histograms of an entry.
+//! Prometheus metrics of an entry.
 
 use prometheus::{Histogram, HistogramOpts, HistogramVec, IntCounterVec, IntGauge, Opts, Registry};
 
-/// Bounds of latency buckets in seconds: the users' objectives lie between 0.1
-/// and 0.8 s, their deadlines between 1.5 and 10 s.
+/// Upper bounds of the latency buckets in seconds: the users' latency objectives are
+/// between 0.1 and 0.8 s, their deadlines between 1.5 and 10 s.
 const LATENCY_BUCKETS: &[f64] = &[
     0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2.0, 4.0, 8.0,
 ];
 
-/// What an entry counts.
+/// The metrics of an entry.
 #[derive(Clone, Debug)]
 pub struct EntryMetrics {
-    /// Where everything is registered.
+    /// The registry of all metrics.
     pub registry: Registry,
     /// Final answers by route kind and outcome.
     pub answers: IntCounterVec,
-    /// Attempts at endpoints by how they ended.
+    /// Attempts at endpoints by outcome.
     pub attempts: IntCounterVec,
-    /// Time to the first event or the whole answer, by route kind.
+    /// Time to the first event or the complete answer in seconds, by route kind.
     pub latency: HistogramVec,
-    /// How far the first token was from its estimate, in seconds, absolute.
+    /// Absolute error of the estimated time to the first token, in seconds.
     pub estimate_error: Histogram,
     /// Calls to the store by call and outcome.
     pub store_calls: IntCounterVec,
@@ -27,14 +27,14 @@
     pub configuration_version: IntGauge,
     /// The newest version that the reader of the failure domain advertised.
     pub advertised_version: IntGauge,
-    /// Endpoints whose registrations went, by what was made of it.
+    /// Registrations that disappeared from the store, by how they were handled.
     pub registrations_removed: IntCounterVec,
-    /// Requests under way.
+    /// Requests in progress.
     pub requests_open: IntGauge,
 }
 
 impl EntryMetrics {
-    /// Registers everything.
+    /// Creates and registers all metrics. Fails if a metric is already registered.
     pub fn new() -> prometheus::Result<EntryMetrics> {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
@@ -47,20 +47,20 @@
             registry.register(Box::new(gauge.clone()))?;
             Ok::<_, prometheus::Error>(gauge)
         };
-        let buckets = |name: &str, help: &str| {
+        let histogram_opts = |name: &str, help: &str| {
             HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS.to_vec())
         };
-        let latency_opts = buckets(
+        let latency_opts = histogram_opts(
             "bluebell_latency_seconds",
             "time to the first event or answer",
         );
         let latency = HistogramVec::new(latency_opts, &["kind"])?;
         registry.register(Box::new(latency.clone()))?;
-        let error_opts = buckets(
+        let estimate_error_opts = histogram_opts(
             "bluebell_estimate_error_seconds",
             "first token against estimate",
         );
-        let estimate_error = Histogram::with_opts(error_opts)?;
+        let estimate_error = Histogram::with_opts(estimate_error_opts)?;
         registry.register(Box::new(estimate_error.clone()))?;
         Ok(EntryMetrics {
             answers: counter(
--- a/crates/ingress/src/program.rs
+++ b/crates/ingress/src/program.rs
@@ -1,4 +1,4 @@
-//! Starting, running and stopping an entry.
+//! Start, operation and shutdown of an entry.
 
 use std::{path::PathBuf, process::ExitCode, sync::Arc, time::Duration};
 
@@ -19,21 +19,25 @@
     peers, ready, steward, time,
 };
 
-/// How long after SIGTERM callers are still accepted. The platform asks once a
-/// second and needs two answers to send callers elsewhere; those with a kept
-/// connection come back on it. What is taken later than 3 s after the signal may
-/// not be done when the process is killed.
-const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2_600);
+/// How long after SIGTERM connections and requests are still accepted. The platform probes
+/// readiness once a second and needs two negative answers to route callers to other
+/// instances; callers with a persistent connection continue to use it. Requests accepted
+/// later than 3 s after the signal may be incomplete when the process is killed.
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(2_600);
 
-/// How long before the platform kills the process it ends by itself, to say so.
-const END_MARGIN: Duration = Duration::from_millis(150);
+/// How long before the platform kills the process it exits by itself, so that it can log
+/// the unfinished requests.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(150);
 
-/// Runs the entry that the settings file describes until it is asked to stop.
+/// Runs an entry with the settings file named by the environment until SIGTERM arrives.
+/// Returns a separate exit code if the settings are missing or invalid.
 pub fn run() -> ExitCode {
     let path = match std::env::var_os(SETTINGS_VARIABLE) {
         Some(path) => PathBuf::from(path),
         None => {
-            eprintln!("error: the variable `{SETTINGS_VARIABLE}` names no settings file");
+            eprintln!(
+                "error: environment variable `{SETTINGS_VARIABLE}` (settings file) is not set"
+            );
             return ExitCode::from(SETTINGS_EXIT);
         }
     };
@@ -44,20 +48,20 @@
             return ExitCode::from(SETTINGS_EXIT);
         }
     };
-    let served = logs::install(log::LevelFilter::Info).and_then(|buffer| {
+    let result = logs::install(log::LevelFilter::Info).and_then(|buffer| {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
-        let served = runtime.block_on(serve(settings, buffer.clone()));
-        if let Err(error) = &served {
+        let result = runtime.block_on(serve(settings, buffer.clone()));
+        if let Err(error) = &result {
             LogLine::new("failed")
                 .with("error", format!("{error:#}"))
                 .warn();
         }
-        buffer.write_out();
-        served
+        buffer.write_pending();
+        result
     });
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("error: {error:#}");
@@ -67,7 +71,7 @@
 }
 
 async fn serve(settings: settings::InstanceSettings, buffer: LogBuffer) -> anyhow::Result<()> {
-    tokio::spawn(buffer.write_regularly());
+    tokio::spawn(buffer.write_periodically());
     let client = PlatformClient::new()?;
     let store = StoreClient::new(client.clone(), settings.store.address);
     let engine_client = EngineClient::new(client.clone());
@@ -89,22 +93,22 @@
     let mut hangup = signal(SignalKind::hangup())?;
     let ready_server = ready::serve(&context, context.settings.ready_address)
         .await
-        .context("the ready address can't be served")?;
+        .context("failed to serve the readiness address")?;
     let metrics_server = ready::serve_metrics(&context).await;
     let background = CancellationToken::new();
     believe::follow(&context, &background);
     peers::start(&context, &background)
         .await
-        .context("the address for other instances can't be used")?;
+        .context("failed to listen on the address for peer instances")?;
     steward::start(&context, &client, &background);
     let frontend = FrontendServer::bind(Arc::clone(&context))
-        .context("the callers' address can't be served")?;
+        .context("failed to listen on the address for callers")?;
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = hangup.recv() => {
-                // The addresses of a running process don't change; anything else
-                // that matters is in the store.
+                // The addresses of a running process can't change, and all other
+                // configuration is in the store.
                 LogLine::new("reload").with("outcome", "settings are kept until the next start").info();
             }
         }
@@ -119,20 +123,21 @@
     Ok(())
 }
 
-/// Not ready at once, then no new callers, then the end of the last request.
+/// Stops the entry: reports not ready, then stops accepting connections, then waits for
+/// the requests in progress.
 ///
-/// A process that closed its address with the signal would cut the callers whom
-/// the platform still sends for two seconds, and those who come back on a kept
-/// connection; one that waited for all connections to close would be killed with
-/// requests inside.
+/// If the process closed its listener on the signal, it would reject the callers that the
+/// platform still routes here for two seconds, and those that reuse a persistent
+/// connection. If it waited until all callers close their connections, it would be killed
+/// with requests in progress.
 async fn stop(context: &EntryContext, frontend: &FrontendServer) {
     LogLine::new("stopping")
         .with("open", context.metrics.requests_open.get())
         .info();
     context.stopping.cancel();
     let grace = context.settings.bounds.grace.as_duration();
-    let end = tokio::time::Instant::now() + grace.saturating_sub(END_MARGIN);
-    tokio::time::sleep(ACCEPT_AFTER_STOP.min(grace / 2)).await;
+    let end = tokio::time::Instant::now() + grace.saturating_sub(SHUTDOWN_MARGIN);
+    tokio::time::sleep(ACCEPT_AFTER_SIGTERM.min(grace / 2)).await;
     frontend.close();
     let ended = tokio::time::timeout_at(end, frontend.wait_closed()).await;
     if ended.is_err() {
--- a/crates/ingress/src/ready.rs
+++ b/crates/ingress/src/ready.rs
@@ -1,4 +1,4 @@
-//! Whether the instance takes new connections, and the pages about itself.
+//! Readiness of the instance, and its operational pages.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -16,18 +16,18 @@
 
 use crate::context::EntryContext;
 
-/// Where metrics and the dump are served besides: a port that is the same on all
-/// instances and on all days, as the deploy file has to name it.
+/// Additional port for metrics and the state dump. It is the same on all instances and
+/// after every restart, because the deploy file has to name it.
 pub const METRICS_PORT: u16 = 9_464;
 
-/// Answers the platform's question.
+/// Answers the readiness probe of the platform.
 #[derive(Clone)]
-struct ReadyPage {
+struct ReadinessHandler {
     context: Arc<EntryContext>,
 }
 
 #[rocket::async_trait]
-impl Handler for ReadyPage {
+impl Handler for ReadinessHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, _data: Data<'r>) -> Outcome<'r> {
         let status = match ready_state(&self.context) {
             ReadyState::Ready => Status::Ok,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Whether the instance can serve what callers send.
+/// Whether the instance can serve requests, or the reason why not.
 pub fn ready_state(context: &EntryContext) -> ReadyState {
     if context.stopping.is_cancelled() {
         return ReadyState::NotReady("stopping".to_string());
@@ -54,7 +54,7 @@
     ReadyState::Ready
 }
 
-/// What this process believes; holds no caller's key.
+/// Returns the state of the process as JSON. It contains no API keys.
 pub fn dump(context: &EntryContext) -> serde_json::Value {
     let now = context.now();
     let (version, age) = {
@@ -75,33 +75,34 @@
     })
 }
 
-fn source(context: &Arc<EntryContext>) -> OpsSource {
-    let (asked, dumped) = (Arc::clone(context), Arc::clone(context));
+fn ops_source(context: &Arc<EntryContext>) -> OpsSource {
+    let (ready_context, dump_context) = (Arc::clone(context), Arc::clone(context));
     OpsSource::new(
         context.metrics.registry.clone(),
-        move || ready_state(&asked),
-        move || dump(&dumped),
+        move || ready_state(&ready_context),
+        move || dump(&dump_context),
     )
 }
 
-/// Serves the platform's question and the pages about the process at `address`.
+/// Serves the readiness probe and the operational pages at `address`. Fails if the address
+/// can't be bound.
 pub async fn serve(
     context: &Arc<EntryContext>,
     address: SocketAddr,
 ) -> Result<RunningServer, ops::ListenError> {
-    let page = ReadyPage {
+    let page = ReadinessHandler {
         context: Arc::clone(context),
     };
-    let rocket = ops::mount(ops::server(address), source(context))
+    let rocket = ops::mount(ops::server(address), ops_source(context))
         .mount("/", vec![Route::new(Method::Get, READY_PATH, page)]);
     RunningServer::start(rocket, address).await
 }
 
-/// Serves the pages about the process at [`METRICS_PORT`]. A port that is taken is
-/// no reason not to serve callers.
+/// Serves the operational pages at [`METRICS_PORT`]. Returns `None` if the port is in use,
+/// which must not keep the instance from serving callers.
 pub async fn serve_metrics(context: &Arc<EntryContext>) -> Option<RunningServer> {
     let address = SocketAddr::new(context.settings.ready_address.ip(), METRICS_PORT);
-    let rocket = ops::mount(ops::server(address), source(context));
+    let rocket = ops::mount(ops::server(address), ops_source(context));
     match RunningServer::start(rocket, address).await {
         Ok(server) => Some(server),
         Err(error) => {
--- a/crates/ingress/src/time.rs
+++ b/crates/ingress/src/time.rs
@@ -1,13 +1,13 @@
-//! The clocks of an entry.
+//! Clocks of an entry.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use bluebell_core::clock::{ClockSource, ClockTime};
 use rustix::time::{ClockId, clock_gettime};
 
-/// A steady clock that goes on while the instance is suspended. Leases and the
-/// age of knowledge are measured on it: on a clock that stands still, an instance
-/// that wakes after some seconds would take its old right for a fresh one.
+/// Returns a monotonic clock that advances also while the instance is suspended. Leases
+/// and the age of state are measured with it: with a clock that stops, an instance that
+/// resumes after some seconds would consider an expired lease valid.
 pub fn boot_clock() -> ClockSource {
     ClockSource::with_read(|| {
         let time = clock_gettime(ClockId::Boottime);
@@ -15,8 +15,9 @@
     })
 }
 
-/// The time of day, for usage windows only. It may be off by some ms.
+/// The time since the Unix epoch. It may be off by a few ms and is used for usage
+/// windows, log lines and start numbers, not for leases.
 pub fn wall_time() -> ClockTime {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    ClockTime::from_millis(since.unwrap_or_default().as_millis() as u64)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    ClockTime::from_millis(elapsed.unwrap_or_default().as_millis() as u64)
 }
--- a/crates/ingress/tests/start_reads.rs
+++ b/crates/ingress/tests/start_reads.rs
@@ -1,80 +1,86 @@
-//! Hundreds of instances that start at the same moment and read everything from the store.
+//! Simulates hundreds of instances that start at the same time and read the complete
+//! configuration and all registrations from the store.
 
 use std::collections::VecDeque;
 
 use bluebell_ingress::believe::whole_read_patience;
 
 const INSTANCES: usize = 295;
-/// Configuration and registrations as the store sends them.
+/// Size of the configuration and the registrations as the store sends them, in bytes.
 const READ_BYTES: u64 = 850_000;
-/// What the store sends in a ms, all readers together.
+/// Bytes that the store sends per ms to all instances together.
 const BYTES_PER_MS: u64 = 80_000;
-/// How long an instance waits after a failed read.
+/// Delay after a failed read, in ms.
 const BACKOFF_MS: u64 = 400;
 
-/// One instance that reads until it has everything.
+/// An instance that repeats its read until it is complete.
 #[derive(Clone, Copy, Default)]
-struct StartingReader {
+struct StartingInstance {
     sent_at: Option<u64>,
     next_at: u64,
     failures: u32,
     is_done: bool,
 }
 
-/// After how many ms the last of the instances has read everything. The store answers
-/// in the order of arrival and also sends what nobody waits for any more.
-fn ready_after(patience_ms: impl Fn(u32) -> u64) -> Option<u64> {
-    let mut readers = [StartingReader::default(); INSTANCES];
+/// Returns the time in ms until all instances have completed their read, or `None` after
+/// 60,000 ms. The store answers in order of arrival, and also sends answers to requests that
+/// have timed out.
+fn complete_after_ms(timeout_ms: impl Fn(u32) -> u64) -> Option<u64> {
+    let mut instances = [StartingInstance::default(); INSTANCES];
     let mut queue: VecDeque<(usize, u64, u64)> = VecDeque::new();
     for now in 0..60_000 {
-        for (number, reader) in readers.iter_mut().enumerate() {
-            if reader.is_done {
+        for (number, instance) in instances.iter_mut().enumerate() {
+            if instance.is_done {
                 continue;
             }
-            let gives_up = |sent: u64| now - sent >= patience_ms(reader.failures);
-            if reader.sent_at.is_some_and(gives_up) {
-                reader.sent_at = None;
-                reader.failures += 1;
-                reader.next_at = now + BACKOFF_MS;
+            let has_timed_out = |sent_at: u64| now - sent_at >= timeout_ms(instance.failures);
+            if instance.sent_at.is_some_and(has_timed_out) {
+                instance.sent_at = None;
+                instance.failures += 1;
+                instance.next_at = now + BACKOFF_MS;
             }
-            if reader.sent_at.is_none() && now >= reader.next_at {
-                reader.sent_at = Some(now);
+            if instance.sent_at.is_none() && now >= instance.next_at {
+                instance.sent_at = Some(now);
                 queue.push_back((number, now, READ_BYTES));
             }
         }
-        let mut room = BYTES_PER_MS;
-        while room > 0
-            && let Some((number, sent, left)) = queue.front_mut()
+        let mut capacity = BYTES_PER_MS;
+        while capacity > 0
+            && let Some((number, sent_at, remaining_bytes)) = queue.front_mut()
         {
-            let bytes = room.min(*left);
-            room -= bytes;
-            *left -= bytes;
-            if *left == 0 {
-                let reader = &mut readers[*number];
-                reader.is_done |= reader.sent_at == Some(*sent);
+            let bytes = capacity.min(*remaining_bytes);
+            capacity -= bytes;
+            *remaining_bytes -= bytes;
+            if *remaining_bytes == 0 {
+                let instance = &mut instances[*number];
+                instance.is_done |= instance.sent_at == Some(*sent_at);
                 queue.pop_front();
             }
         }
-        if readers.iter().all(|reader| reader.is_done) {
+        if instances.iter().all(|instance| instance.is_done) {
             return Some(now);
         }
     }
     None
 }
 
-/// Guards against a fleet that is never ready again after all instances were killed: the
-/// store can't send everything to all of them within the time that one read is given.
+/// Guards against a fleet that never becomes ready again after all instances were killed:
+/// the store can't send everything to all of them within the timeout of a first read, and
+/// repeated reads add load.
 #[test]
-fn hundreds_of_instances_that_start_at_once_read_a_large_configuration() {
-    let ready = ready_after(|failures| whole_read_patience(failures).as_millis());
-    assert!(ready.is_some_and(|after| after < 10_000), "{ready:?}");
+fn hundreds_of_instances_starting_at_once_read_a_large_configuration() {
+    let complete_after = complete_after_ms(|failures| whole_read_patience(failures).as_millis());
+    assert!(
+        complete_after.is_some_and(|ms| ms < 10_000),
+        "{complete_after:?}"
+    );
 }
 
-/// Guards against an instance that waits for a silent connection long after the store
-/// can be reached again.
+/// Guards against an instance that waits on an unresponsive connection long after the
+/// store is reachable again.
 #[test]
-fn the_patience_of_whole_reads_is_bounded() {
-    let longest = whole_read_patience(1_000).as_millis();
-    assert!(longest <= 4_000, "{longest}");
+fn the_timeout_of_complete_reads_is_bounded() {
+    let max_timeout = whole_read_patience(1_000).as_millis();
+    assert!(max_timeout <= 4_000, "{max_timeout}");
     assert!(whole_read_patience(0) < whole_read_patience(1));
 }
