--- a/crates/ingress/src/context.rs
+++ b/crates/ingress/src/context.rs
@@ -24,12 +24,13 @@
 };
 
 /// Subtracted from the time that the operators allow between the withdrawal of a key and
-/// its rejection: clocks drift, and a request takes a few ms to arrive.
+/// its rejection, which limits the age of the last confirmation of keys: clocks drift, and a
+/// request takes a few ms to arrive.
 const WITHDRAWAL_MARGIN: TimeSpan = TimeSpan::from_millis(250);
 
 /// Subtracted from the time within which a newer configuration has to be in force
-/// everywhere: its first advertisement may arrive here that late. Afterwards the older
-/// configuration is no longer used here, even if the newer one has not been read yet.
+/// everywhere: its first advertisement may arrive that late. When the rest has elapsed, an
+/// instance stops using the older configuration even if it has not read the newer one.
 const ADVERTISEMENT_DELAY: TimeSpan = TimeSpan::from_millis(1_000);
 
 /// The fraction of the extra retries allowed to all entries together that the entries
@@ -53,9 +54,9 @@
 pub struct Shared<Value>(Mutex<Value>);
 
 impl<Value> Shared<Value> {
-    /// Wraps `data` in a mutex.
-    pub fn new(data: Value) -> Shared<Value> {
-        Shared(Mutex::new(data))
+    /// Wraps `value` in a mutex.
+    pub fn new(value: Value) -> Shared<Value> {
+        Shared(Mutex::new(value))
     }
 
     /// Locks the value. The guard must not be held across an `await`.
@@ -198,7 +199,7 @@
             .set_extra(EXTRA_BUDGET_SHARE * extra / entries as f64);
     }
 
-    /// Maximum age of the list of withdrawn keys while keys are accepted.
+    /// Maximum age of the last confirmation of the API keys while keys are accepted.
     pub fn max_key_age(&self) -> TimeSpan {
         self.settings.bounds.withdrawal.less(WITHDRAWAL_MARGIN)
     }
--- a/crates/ingress/src/forward/attempt.rs
+++ b/crates/ingress/src/forward/attempt.rs
@@ -80,6 +80,7 @@
     outcome
 }
 
+/// Sends the request on pooled connections until one is still open, or on a new one.
 async fn exchange(
     context: &EntryContext,
     request: &CallerRequest,
@@ -103,6 +104,7 @@
     }
 }
 
+/// Sends the request on `connection` and reads the head of the answer.
 async fn exchange_on(
     context: &EntryContext,
     request: &CallerRequest,
@@ -110,7 +112,7 @@
     extra_headers: &ExtraHeaders,
     mut connection: EndpointConnection,
 ) -> SendOutcome {
-    let outgoing = match outgoing(context, request, target, extra_headers) {
+    let outgoing = match build_request(context, request, target, extra_headers) {
         Ok(outgoing) => outgoing,
         Err(error) => return SendOutcome::NotSent(error.to_string()),
     };
@@ -186,7 +188,7 @@
     }
 }
 
-fn outgoing(
+fn build_request(
     context: &EntryContext,
     request: &CallerRequest,
     target: &EndpointTarget,
--- a/crates/ingress/src/forward/stream.rs
+++ b/crates/ingress/src/forward/stream.rs
@@ -50,7 +50,7 @@
     pub first_position: StreamPosition,
     /// When the latest events arrived.
     pub last_event_at: ClockTime,
-    /// Whether the stream came to its proper end.
+    /// Whether the stream ended after a complete event.
     pub is_complete: bool,
     /// The connection that carries the stream.
     pub connection: Option<EndpointConnection>,
--- a/crates/ingress/src/frontend/refusal.rs
+++ b/crates/ingress/src/frontend/refusal.rs
@@ -26,7 +26,7 @@
     /// The configuration in force has been superseded, and the newer version has not
     /// been read yet.
     ConfigurationOutdated,
-    /// The list of withdrawn keys has not been confirmed for too long.
+    /// The API keys of the configuration have not been confirmed for too long.
     KeysStale,
     /// No route matches the request.
     NoRoute,
--- a/crates/ingress/src/frontend/request.rs
+++ b/crates/ingress/src/frontend/request.rs
@@ -24,8 +24,8 @@
     hop_headers,
 };
 
-/// Delay after which a caller may retry if the configuration or the withdrawn keys are
-/// missing or out of date here.
+/// Delay after which a caller may retry if this entry has no configuration yet, or if its
+/// configuration or API keys are out of date.
 const SYNC_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(600);
 
 /// Divisor of the instance's memory for request bodies: a quarter may hold bodies.
@@ -116,9 +116,9 @@
     })?;
     let rule = table.service(&service);
     let work = match rule.is_some_and(|rule| rule.engine.is_some()) {
-        true => {
-            Some(prompt(&head.headers).map_err(|()| invalid_request(RefusalReason::Malformed))?)
-        }
+        true => Some(
+            read_prompt(&head.headers).map_err(|()| invalid_request(RefusalReason::Malformed))?,
+        ),
         false => None,
     };
     let deadline_ms = header_text(&head.headers, headers::DEADLINE_MS);
@@ -169,8 +169,9 @@
     if route.is_public || !table.has_keys() {
         return Ok(None);
     }
-    // A key that is withdrawn while the store is unreachable would remain valid here for
-    // the whole outage, so all keys are rejected once their state is too old.
+    // A key that is withdrawn while the store is unreachable would remain valid on this
+    // instance for the whole outage, so all keys are rejected when their last confirmation
+    // is too old.
     if !context.keys_are_fresh(now) {
         let reason = RefusalReason::KeysStale;
         return Err(Refusal::before_sending(reason, SYNC_RETRY_AFTER));
@@ -202,7 +203,7 @@
 
 /// Reads the token counts and the prefix of the prompt from the headers. Called for model
 /// services only: the kind of a request follows from its route, never from its headers.
-fn prompt(headers: &HeaderMap) -> Result<PromptWork, ()> {
+fn read_prompt(headers: &HeaderMap) -> Result<PromptWork, ()> {
     let Some(sizes) = header_text(headers, headers::TOKEN_USAGE) else {
         return Ok(PromptWork::default());
     };
