--- a/crates/core/src/placement/engine.rs
+++ b/crates/core/src/placement/engine.rs
@@ -627,7 +627,8 @@
     /// duration of the ejection if the engine is ejected for it.
     pub fn failed(&mut self, now: ClockTime, id: &EndpointId) -> Option<TimeSpan> {
         let state = self.engines.get_mut(id)?;
-        state.health
+        state
+            .health
             .note_failure(now, &self.settings, &mut self.random)
     }
 
--- a/crates/core/src/placement/replicas.rs
+++ b/crates/core/src/placement/replicas.rs
@@ -155,7 +155,8 @@
     pub fn failed(&mut self, now: ClockTime, endpoint: &EndpointId) -> Option<TimeSpan> {
         let state = self.replicas.get_mut(endpoint)?;
         state.outstanding = state.outstanding.saturating_sub(1);
-        state.health
+        state
+            .health
             .note_failure(now, &self.settings, &mut self.random)
     }
 
--- a/crates/ingress/src/leader/task.rs
+++ b/crates/ingress/src/leader/task.rs
@@ -131,7 +131,8 @@
         }
         let now = self.context.now();
         if self
-            .appended_at.is_none_or(|at| now.since(at) >= LEADER_HEARTBEAT_INTERVAL)
+            .appended_at
+            .is_none_or(|at| now.since(at) >= LEADER_HEARTBEAT_INTERVAL)
         {
             return self.append(None).await.map(drop);
         }
