--- a/crates/endpoint/src/reference.rs
+++ b/crates/endpoint/src/reference.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// What a prompt contains to ask for an answer of a certain length, as `len=40`.
-pub const LENGTH_MARK: &str = "len=";
+pub const LENGTH_MARKER: &str = "len=";
 
 /// The shortest answer to a prompt without a length mark.
 const LEAST_LENGTH: u64 = 16;
@@ -67,7 +67,7 @@
 }
 
 fn marked_length(prompt: &str) -> Option<u64> {
-    let (_, rest) = prompt.rsplit_once(LENGTH_MARK)?;
+    let (_, rest) = prompt.rsplit_once(LENGTH_MARKER)?;
     let end = rest.find(|c: char| !c.is_ascii_digit());
     rest[..end.unwrap_or(rest.len())].parse().ok()
 }
--- a/crates/ingress/src/frontend/listener.rs
+++ b/crates/ingress/src/frontend/listener.rs
@@ -63,7 +63,7 @@
     /// Binds the address for callers and serves connections until
     /// [`FrontendServer::close`]. Fails if the address can't be bound.
     pub fn bind(context: Arc<EntryContext>) -> io::Result<FrontendServer> {
-        let address = context.settings.callers_address;
+        let address = context.settings.frontend_address;
         let socket = Socket::new(
             Domain::for_address(address),
             Type::STREAM,
--- a/crates/ingress/src/leader/publish.rs
+++ b/crates/ingress/src/leader/publish.rs
@@ -59,7 +59,7 @@
                 let current = current_window(&context).number();
                 last_published = last_published.max(UsageWindow::new(current.saturating_sub(1)));
             }
-            Ok(AppendAnswer::EndMoved { .. }) => {}
+            Ok(AppendAnswer::EndMismatch { .. }) => {}
             Err(error) => {
                 context.peer_usage.lock().restore(peer_records);
                 backoff.wait_after_failure(&context, &error).await;
--- a/crates/ingress/src/leader/task.rs
+++ b/crates/ingress/src/leader/task.rs
@@ -175,7 +175,7 @@
                 self.leadership.note_end(end);
                 Ok(())
             }
-            Ok(ReadAnswer::Forgotten { first }) => {
+            Ok(ReadAnswer::Trimmed { first }) => {
                 self.leadership.note_end(first);
                 Ok(())
             }
@@ -344,7 +344,7 @@
                 }
                 Ok(Some(self.leadership.appended(now, sent, offset)))
             }
-            Ok(AppendAnswer::EndMoved { .. }) => {
+            Ok(AppendAnswer::EndMismatch { .. }) => {
                 self.read_records(TimeSpan::ZERO).await?;
                 Ok(None)
             }
@@ -387,7 +387,7 @@
                         return Ok(());
                     }
                 }
-                Ok(ReadAnswer::Forgotten { first }) => self.usage_next = first,
+                Ok(ReadAnswer::Trimmed { first }) => self.usage_next = first,
                 Err(CallError::Status { status: 404, .. }) => return Ok(()),
                 Err(error) => return Err(error),
             }
--- a/crates/ingress/src/peers/registry.rs
+++ b/crates/ingress/src/peers/registry.rs
@@ -52,7 +52,7 @@
 /// The socket address at which this instance receives datagrams.
 pub fn local_address(context: &EntryContext) -> SocketAddr {
     let settings = &context.settings;
-    SocketAddr::new(settings.callers_address.ip(), settings.peer_port)
+    SocketAddr::new(settings.frontend_address.ip(), settings.peer_port)
 }
 
 async fn read_newest(context: &EntryContext, timeout: TimeSpan) -> Result<(), CallError> {
--- a/crates/ingress/src/peers/relay.rs
+++ b/crates/ingress/src/peers/relay.rs
@@ -32,7 +32,7 @@
     /// Whether the configuration and keys here are older than relayed ones may be.
     pub fn must_read_keys_by_age(&self) -> bool {
         let now = self.now();
-        let limit = relay_age_limit(self.settings.bounds.configuration);
+        let limit = relay_age_limit(self.settings.bounds.configuration_rollout);
         !self.configuration.lock().is_fresh(now, limit)
     }
 
@@ -52,7 +52,7 @@
         let now = self.now();
         let relayed = self.relayed.lock();
         let known_at = relayed.endpoints_synced_at;
-        let limit = relay_age_limit(self.settings.bounds.leaving);
+        let limit = relay_age_limit(self.settings.bounds.endpoint_drain);
         let is_stale = known_at.is_none_or(|at| now.since(at) >= limit);
         let differs = relayed.must_resync;
         drop(relayed);
--- a/crates/ingress/src/program.rs
+++ b/crates/ingress/src/program.rs
@@ -87,7 +87,7 @@
         .with("instance", &context.settings.instance)
         .with("failure_domain", &context.settings.domain)
         .with("start", context.writer.start)
-        .with("callers", context.settings.callers_address)
+        .with("callers", context.settings.frontend_address)
         .info();
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
--- a/crates/ingress/src/sync/configuration.rs
+++ b/crates/ingress/src/sync/configuration.rs
@@ -85,7 +85,7 @@
     let sent = context.now();
     let timeout = READ_WAIT + READ_SLACK;
     match context.store.read(PART, from, READ_WAIT, timeout).await? {
-        ReadAnswer::Forgotten { first } => {
+        ReadAnswer::Trimmed { first } => {
             LogLine::new("configuration_history_lost")
                 .with("from", from)
                 .with("first", first)
--- a/crates/ingress/src/sync/copies.rs
+++ b/crates/ingress/src/sync/copies.rs
@@ -139,7 +139,7 @@
             records: records.len() as u32,
             size: ByteSize::new(copy.len() as u64),
         }),
-        AppendAnswer::EndMoved { .. } => Err(CopyError::UnexpectedAnswer),
+        AppendAnswer::EndMismatch { .. } => Err(CopyError::UnexpectedAnswer),
     }
 }
 
@@ -179,11 +179,11 @@
     let wait = TimeSpan::ZERO;
     let answer = context
         .store
-        .read_at_most(PART, place.offset, wait, READ_TIMEOUT, place.size)
+        .read_limited(PART, place.offset, wait, READ_TIMEOUT, place.size)
         .await?;
     let records = match answer {
         ReadAnswer::Records { records, .. } => records,
-        ReadAnswer::Forgotten { first } => return Err(CopyError::Removed(first)),
+        ReadAnswer::Trimmed { first } => return Err(CopyError::Removed(first)),
     };
     let records = records.iter().take(place.records as usize);
     let copy: Vec<u8> = records.flat_map(|record| record.bytes.to_vec()).collect();
--- a/crates/ingress/src/sync/endpoints.rs
+++ b/crates/ingress/src/sync/endpoints.rs
@@ -137,7 +137,7 @@
         .await?;
     note_store_answer(context);
     match answer {
-        ReadAnswer::Forgotten { .. } => Ok(None),
+        ReadAnswer::Trimmed { .. } => Ok(None),
         ReadAnswer::Records { records, end } => {
             let next = records.last().map_or(from, |record| record.offset.next());
             for record in &records {
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -17,11 +17,11 @@
 };
 use bluebell_platform_standin::{
     duties,
-    endpoint::{EndpointPlan, PrefilledHandles, RunningEndpoint},
-    events::EventWatch,
+    endpoint::{EndpointSpec, PrefilledHandles, RunningEndpoint},
+    events::EventHandler,
     http,
     operator::{
-        InstancePlace, InstancePorts, OperatorBounds, OperatorConfiguration, OperatorKind,
+        InstancePorts, InstanceSpec, OperatorBounds, OperatorConfiguration, OperatorKind,
         OperatorOrganisation, OperatorRoute, settings_text,
     },
     store::StandinStore,
@@ -55,11 +55,11 @@
 /// What the operator of the soak promises and asks: the users' figures, with a
 /// shorter time to stop, so that a soak sees many stops.
 pub const BOUNDS: OperatorBounds = OperatorBounds {
-    withdrawal_ms: 5_000,
+    key_withdrawal_ms: 5_000,
     grace_s: 5,
-    configuration_ms: 2_000,
-    leaving_ms: 2_000,
-    window_s: 5,
+    configuration_rollout_ms: 2_000,
+    endpoint_drain_ms: 2_000,
+    usage_window_s: 5,
 };
 
 /// A route that callers use.
@@ -133,7 +133,7 @@
 /// A place where an endpoint runs.
 pub struct EndpointSlot {
     /// What runs there; the address is that of the path.
-    pub plan: EndpointPlan,
+    pub plan: EndpointSpec,
     /// The way to it.
     pub path: LoopbackPath,
     /// The endpoint, with its id.
@@ -168,7 +168,7 @@
     /// The configuration in force.
     pub configuration: Mutex<OperatorConfiguration>,
     handles: PrefilledHandles,
-    watch: EventWatch,
+    watch: EventHandler,
     ip: IpAddr,
     born: AtomicU64,
 }
@@ -211,19 +211,19 @@
         let checker = Arc::new(PromiseChecker::new(
             ClockSource::new(),
             PromiseBounds {
-                withdrawal: TimeSpan::from_millis(BOUNDS.withdrawal_ms),
-                configuration: TimeSpan::from_millis(BOUNDS.configuration_ms),
-                leaving: TimeSpan::from_millis(BOUNDS.leaving_ms),
+                withdrawal: TimeSpan::from_millis(BOUNDS.key_withdrawal_ms),
+                configuration: TimeSpan::from_millis(BOUNDS.configuration_rollout_ms),
+                leaving: TimeSpan::from_millis(BOUNDS.endpoint_drain_ms),
             },
         ));
         let watching = Arc::clone(&checker);
-        let watch: EventWatch = Arc::new(move |event| watching.saw(event));
+        let watch: EventHandler = Arc::new(move |event| watching.saw(event));
         let ip = soak_ip(seed, size.instances);
         let store = StandinStore::new(seed);
         let (listener, store_address) = http::listen(ip).await?;
         tokio::spawn(store.clone().serve(listener, stop.clone()));
         let (listener, duties_address) = http::listen(ip).await?;
-        let watched = EventWatch::clone(&watch);
+        let watched = EventHandler::clone(&watch);
         tokio::spawn(duties::serve(listener, stop.clone(), watched));
         let mut fleet = SoakFleet {
             seed,
@@ -265,7 +265,7 @@
         let path = LoopbackPath::open(self.ip, store).await?;
         let domain = DOMAINS[number % DOMAINS.len()];
         let name = format!("entry-{domain}-{number}");
-        let place = InstancePlace {
+        let place = InstanceSpec {
             name: name.clone(),
             domain: domain.to_string(),
             ip,
@@ -288,10 +288,10 @@
         })
     }
 
-    async fn place_endpoint(&self, plan: EndpointPlan) -> anyhow::Result<EndpointSlot> {
+    async fn place_endpoint(&self, plan: EndpointSpec) -> anyhow::Result<EndpointSlot> {
         let (listener, address) = http::listen(self.ip).await?;
         let path = LoopbackPath::open(self.ip, address).await?;
-        let plan = EndpointPlan {
+        let plan = EndpointSpec {
             address: path.address,
             ..plan
         };
@@ -305,12 +305,12 @@
 
     fn run_endpoint(
         &self,
-        plan: EndpointPlan,
+        plan: EndpointSpec,
         listener: tokio::net::TcpListener,
     ) -> RunningEndpoint {
         let born = self.born.fetch_add(1, Ordering::SeqCst);
         let (store, handles) = (self.store.clone(), PrefilledHandles::clone(&self.handles));
-        let watch = EventWatch::clone(&self.watch);
+        let watch = EventHandler::clone(&self.watch);
         RunningEndpoint::start(plan, listener, born, store, handles, watch)
     }
 
@@ -329,7 +329,7 @@
             true => format!("{}-{}", slot.plan.id, self.born.load(Ordering::SeqCst)),
             false => slot.current().0,
         };
-        let plan = EndpointPlan {
+        let plan = EndpointSpec {
             id: id.clone(),
             ..slot.plan.clone()
         };
@@ -409,12 +409,12 @@
 }
 
 /// One replica of each till and two engines in each failure domain.
-fn endpoint_plans() -> Vec<EndpointPlan> {
+fn endpoint_plans() -> Vec<EndpointSpec> {
     let unknown = SocketAddr::from(([127, 0, 0, 1], 0));
     let mut plans = Vec::new();
     for domain in DOMAINS {
         for service in TILLS {
-            plans.push(EndpointPlan {
+            plans.push(EndpointSpec {
                 id: format!("{service}-{domain}"),
                 service: service.to_string(),
                 domain: domain.to_string(),
@@ -425,7 +425,7 @@
         }
         for prefills in [true, false] {
             let stage = if prefills { "first" } else { "then" };
-            plans.push(EndpointPlan {
+            plans.push(EndpointSpec {
                 id: format!("{POOL}-{domain}-{stage}"),
                 service: POOL.to_string(),
                 domain: domain.to_string(),
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -324,7 +324,7 @@
         let now = self.now();
         let mut book = self.hold();
         match event {
-            PlatformEvent::RunBegan(run) => self.run_began(&mut book, now, run),
+            PlatformEvent::RunStarted(run) => self.run_began(&mut book, now, run),
             PlatformEvent::RunEnded { attempt, endpoint } => {
                 if let Some(attempt) = book.attempts.get_mut(attempt) {
                     attempt.open_runs.retain(|open| open != endpoint);
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -302,7 +302,7 @@
         }
         SoakFault::StoreForgets => {
             for topic in [configuration::TOPIC, registrations::TOPIC] {
-                fleet.store.forget(topic);
+                fleet.store.trim(topic);
             }
         }
         SoakFault::MoveRoute { route } => fleet.move_route(route),
@@ -346,7 +346,7 @@
         SoakFault::EndpointLeaves { endpoint } => {
             let slot = &fleet.endpoints[endpoint];
             let (id, leaving) = slot.current();
-            leaving.leave();
+            leaving.drain();
             fleet.checker.endpoint_left(&id);
             tokio::time::sleep(DRAIN).await;
             fleet.checker.disturb(&id, false);
@@ -496,7 +496,7 @@
         StoreTrouble::Loses => faults.lost = LOST_WRITES,
         StoreTrouble::Late => {
             faults.lost = LOST_WRITES;
-            faults.is_late = true;
+            faults.is_deferred = true;
         }
     }
     faults
@@ -506,10 +506,10 @@
     let mut faults = EndpointFaults::default();
     match trouble {
         EndpointTrouble::Loses => faults.lost = TROUBLED,
-        EndpointTrouble::Cuts => faults.cut = TROUBLED,
+        EndpointTrouble::Cuts => faults.truncated = TROUBLED,
         EndpointTrouble::Refuses => faults.refused = TROUBLED,
         EndpointTrouble::Slow => faults.slow_ms = SLOW_MS,
-        EndpointTrouble::Silent => faults.silent = TROUBLED,
+        EndpointTrouble::Silent => faults.unanswered = TROUBLED,
     }
     faults
 }
--- a/crates/soak/tests/promises.rs
+++ b/crates/soak/tests/promises.rs
@@ -57,7 +57,7 @@
     }
 
     fn run_at(&self, attempt: &str, service: &str) {
-        self.checker.saw(&PlatformEvent::RunBegan(RunStart {
+        self.checker.saw(&PlatformEvent::RunStarted(RunStart {
             attempt: attempt.to_string(),
             endpoint: "e1".to_string(),
             service: service.to_string(),
--- a/crates/transfer/src/lib.rs
+++ b/crates/transfer/src/lib.rs
@@ -14,7 +14,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct WholeAnswer {
+pub struct CompleteAnswer {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -50,13 +50,13 @@
 pub async fn fetch(
     request: RequestBuilder,
     patience: TimeSpan,
-) -> Result<WholeAnswer, TransferError> {
+) -> Result<CompleteAnswer, TransferError> {
     let mut body = BytesMut::new();
     let read = read_pieces(request, patience, &mut body);
     let limit = patience + LONGEST_TRANSFER;
     let read = tokio::time::timeout(limit.as_duration(), read).await;
     let (status, headers) = read.map_err(|_| timed_out(limit, &body))??;
-    Ok(WholeAnswer {
+    Ok(CompleteAnswer {
         status,
         headers,
         body: body.freeze(),
