--- a/crates/core/src/provision/demand.rs
+++ b/crates/core/src/provision/demand.rs
@@ -1,10 +1,11 @@
-//! What a service's requests ask of its engines, as entries see it.
+//! Measures the demand of a service's requests on its engines.
 //!
-//! Each entry measures the prefills that it sends and the requests that run for it,
-//! in engines that they keep busy, and tells the others. The steward adds up what
-//! all have told. A fleet that was divided by a fixed share would have too few
-//! engines for long answers on one deployment and too few for long prompts on the
-//! next; one notices by one stage's queues while the other's engines idle.
+//! Each entry measures the prefills that it sends and the requests that run for it, as
+//! a number of engines that they keep busy, and reports the values to the other
+//! entries. The leader adds up the reports of all entries. If the fleet were divided by
+//! a fixed share instead, it would have too few engines for long answers in one
+//! deployment and too few for long prompts in another: requests would queue for one
+//! stage while engines of the other are idle.
 
 use std::collections::BTreeMap;
 
@@ -15,41 +16,43 @@
     ids::{FailureDomain, InstanceId, ServiceName},
 };
 
-/// Over how long demand is averaged: shorter than the swings that are worth a change
-/// of stage, longer than the gaps between one entry's prompts.
-const AVERAGED_OVER: TimeSpan = TimeSpan::from_millis(3_000);
+/// Averaging time of the demand: shorter than the changes that justify a change of a
+/// stage, longer than the gaps between the prompts of one entry.
+const AVERAGING_TIME: TimeSpan = TimeSpan::from_millis(3_000);
 
-/// The share of an average that has to have been seen before it is taken for the whole.
-const LEAST_SEEN: f64 = 0.2;
+/// Minimum share of an average that has to be observed before the average is scaled up
+/// to the whole.
+const MIN_OBSERVED_SHARE: f64 = 0.2;
 
-/// How long another entry's word counts. An entry that is cut off from the steward
-/// still has its callers.
-const REPORT_LIFE: TimeSpan = TimeSpan::from_millis(15_000);
+/// How long a report of another entry is valid. An entry that is partitioned from the
+/// leader still serves its callers.
+const MAX_REPORT_AGE: TimeSpan = TimeSpan::from_millis(15_000);
 
-/// Over how long what is needed is averaged, at least and at most: the longer, the
-/// more has been seen. The mix of requests swings within some ten seconds, and a change
-/// of stage costs an engine some of them; following each swing costs more than it gains.
+/// Minimum and maximum averaging time of the number of engines needed; it grows with
+/// the time observed. The mix of requests changes within about ten seconds, and a
+/// change of a stage takes an engine several of them; following each change would cost
+/// more than it gains.
 const SMOOTHING_TIME: (TimeSpan, TimeSpan) =
     (TimeSpan::from_millis(3_000), TimeSpan::from_millis(30_000));
 
-/// The weight of the newest stream in the average speed.
-const NEWEST_WEIGHT: f64 = 0.1;
+/// Weight of the newest stream in the average speed.
+const NEWEST_STREAM_WEIGHT: f64 = 0.1;
 
-/// How fast the unhindered pace follows streams that are faster, and slower. It is
-/// close to the pace of the fastest few in a hundred.
-const UNHINDERED_WEIGHTS: (f64, f64) = (0.1, 0.002);
+/// Weights with which the uncontended pace follows faster and slower streams. With them
+/// it stays close to the pace of the fastest few percent of the streams.
+const UNCONTENDED_WEIGHTS: (f64, f64) = (0.1, 0.002);
 
-/// What requests ask of engines.
+/// Demand of requests on engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct EngineDemand {
-    /// Engines that would be busy with prefills all the time.
+    /// Number of engines that prefills would keep busy all the time.
     pub prefill: f64,
-    /// Engines whose slots or memory running requests would fill.
+    /// Number of engines whose slots or memory the running requests would fill.
     pub held: f64,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: f64,
-    /// How fast they run, compared with a request that has an engine for itself.
-    /// None as long as no stream was seen to its end.
+    /// Average speed of the running requests relative to a request that is alone on an
+    /// engine. `None` until a stream has ended.
     pub speed: Option<f64>,
 }
 
@@ -59,12 +62,12 @@
             prefill: self.prefill + other.prefill,
             held: self.held + other.held,
             running: self.running + other.running,
-            speed: self.joint_speed(other),
+            speed: self.combined_speed(other),
         }
     }
 
-    /// The speed of both, by how much runs.
-    fn joint_speed(self, other: EngineDemand) -> Option<f64> {
+    /// Average of both speeds, weighted by the number of running requests.
+    fn combined_speed(self, other: EngineDemand) -> Option<f64> {
         let (Some(one), Some(two)) = (self.speed, other.speed) else {
             return self.speed.or(other.speed);
         };
@@ -72,102 +75,103 @@
         Some((one * first + two * second) / (first + second))
     }
 
-    /// The share of their speed that requests lose to the others that run on the same
-    /// engines: 0 with an engine for each, close to 1 where an engine can't generate more.
-    pub fn crowding(&self) -> f64 {
+    /// Share of their speed that requests lose to other requests on the same engine: 0
+    /// with one request per engine, close to 1 where an engine cannot generate more
+    /// tokens.
+    pub fn contention(&self) -> f64 {
         self.speed.map_or(0.0, |speed| 1.0 - speed)
     }
 }
 
-/// How fast streams run.
+/// Measures the speed of streams.
 #[derive(Clone, Copy, Debug)]
 struct PaceMeter {
-    /// The time between two events of a request that has an engine for itself, in ms.
-    unhindered_ms: f64,
-    /// The average speed, compared with that.
+    /// Time between two events of a request that is alone on an engine, in ms.
+    uncontended_ms: f64,
+    /// Average speed relative to this pace.
     speed: f64,
 }
 
 impl PaceMeter {
     fn new(event_ms: f64) -> PaceMeter {
         PaceMeter {
-            unhindered_ms: event_ms,
+            uncontended_ms: event_ms,
             speed: 1.0,
         }
     }
 
     fn note(&mut self, event_ms: f64) {
-        let weight = match event_ms < self.unhindered_ms {
-            true => UNHINDERED_WEIGHTS.0,
-            false => UNHINDERED_WEIGHTS.1,
+        let weight = match event_ms < self.uncontended_ms {
+            true => UNCONTENDED_WEIGHTS.0,
+            false => UNCONTENDED_WEIGHTS.1,
         };
-        self.unhindered_ms += weight * (event_ms - self.unhindered_ms);
-        let speed = (self.unhindered_ms / event_ms).min(1.0);
-        self.speed += NEWEST_WEIGHT * (speed - self.speed);
+        self.uncontended_ms += weight * (event_ms - self.uncontended_ms);
+        let speed = (self.uncontended_ms / event_ms).min(1.0);
+        self.speed += NEWEST_STREAM_WEIGHT * (speed - self.speed);
     }
 }
 
-/// What runs.
+/// Running requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct RunMeter {
     held: f64,
     running: f64,
 }
 
-/// One entry's own demand for a service.
+/// Local demand of one entry for a service.
 #[derive(Clone, Copy, Debug, Default)]
 struct DemandMeter {
     prefill: f64,
-    /// The average of what runs.
+    /// Average of the running requests.
     average: RunMeter,
-    /// What runs at the moment.
-    present: RunMeter,
+    /// Requests that run now.
+    current: RunMeter,
     pace: Option<PaceMeter>,
-    /// The share of the averages that is of the time before anything was seen.
-    unseen: f64,
+    /// Share of the averages that covers the time before the first observation.
+    unobserved: f64,
     at: ClockTime,
 }
 
 impl DemandMeter {
     fn new(now: ClockTime) -> DemandMeter {
         DemandMeter {
-            unseen: 1.0,
+            unobserved: 1.0,
             at: now,
             ..DemandMeter::default()
         }
     }
 
     fn advance(&mut self, now: ClockTime) {
-        let kept = kept(now.since(self.at), AVERAGED_OVER);
-        let (average, present) = (self.average, self.present);
-        self.prefill *= kept;
-        self.unseen *= kept;
+        let decay = decay_after(now.since(self.at), AVERAGING_TIME);
+        let (average, current) = (self.average, self.current);
+        self.prefill *= decay;
+        self.unobserved *= decay;
         self.average = RunMeter {
-            held: averaged(average.held, present.held, kept),
-            running: averaged(average.running, present.running, kept),
+            held: decayed(average.held, current.held, decay),
+            running: decayed(average.running, current.running, decay),
         };
         self.at = now;
     }
 
     fn demand(&self) -> EngineDemand {
-        let seen = (1.0 - self.unseen).max(LEAST_SEEN);
+        let observed = (1.0 - self.unobserved).max(MIN_OBSERVED_SHARE);
         EngineDemand {
-            prefill: self.prefill / seen,
-            held: self.average.held / seen,
-            running: self.average.running / seen,
+            prefill: self.prefill / observed,
+            held: self.average.held / observed,
+            running: self.average.running / observed,
             speed: self.pace.map(|pace| pace.speed),
         }
     }
 }
 
-/// The share of an average that is left after `span`.
-fn kept(span: TimeSpan, over: TimeSpan) -> f64 {
+/// Weight that an average keeps after `span` with the time constant `over`.
+fn decay_after(span: TimeSpan, over: TimeSpan) -> f64 {
     (-(span.as_millis() as f64) / over.as_millis() as f64).exp()
 }
 
-/// An average of which `kept` is left, and the rest is `present`.
-fn averaged(average: f64, present: f64, kept: f64) -> f64 {
-    present + (average - present) * kept
+/// Average with weight `decay` on `average` and the rest on `current`.
+fn decayed(average: f64, current: f64, decay: f64) -> f64 {
+    current + (average - current) * decay
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -176,49 +180,50 @@
     demand: EngineDemand,
 }
 
-/// The demand of all entries, as this one knows it.
+/// Demand of all entries as known to this one.
 #[derive(Clone, Debug, Default)]
 pub struct DemandTable {
     local: BTreeMap<ServiceName, DemandMeter>,
     reports: BTreeMap<(ServiceName, InstanceId), PeerDemand>,
-    /// Sums of failure domains whose entries are not heard one by one.
+    /// Sums of the failure domains whose entries do not report individually to this
+    /// one.
     domains: BTreeMap<(ServiceName, FailureDomain), PeerDemand>,
 }
 
 impl DemandTable {
-    /// Nothing known.
+    /// Creates an empty table.
     pub fn new() -> DemandTable {
         DemandTable::default()
     }
 
-    /// A prefill of `work_ms` was sent.
+    /// Records that a prefill with an estimated duration of `work_ms` was sent.
     pub fn prefill_sent(&mut self, now: ClockTime, service: &ServiceName, work_ms: f64) {
         let meter = self.meter(now, service);
-        meter.prefill += work_ms / AVERAGED_OVER.as_millis() as f64;
+        meter.prefill += work_ms / AVERAGING_TIME.as_millis() as f64;
     }
 
-    /// A request began to run; it takes `share` of an engine.
+    /// Records that a request started to run; it takes the share `share` of an engine.
     pub fn run_started(&mut self, now: ClockTime, service: &ServiceName, share: f64) {
-        let present = &mut self.meter(now, service).present;
-        present.held += share;
-        present.running += 1.0;
+        let current = &mut self.meter(now, service).current;
+        current.held += share;
+        current.running += 1.0;
     }
 
-    /// A request no longer runs.
+    /// Records that a request no longer runs.
     pub fn run_ended(&mut self, now: ClockTime, service: &ServiceName, share: f64) {
-        let present = &mut self.meter(now, service).present;
-        present.held = (present.held - share).max(0.0);
-        present.running = (present.running - 1.0).max(0.0);
+        let current = &mut self.meter(now, service).current;
+        current.held = (current.held - share).max(0.0);
+        current.running = (current.running - 1.0).max(0.0);
     }
 
-    /// A stream came to its end; its events came `event_ms` apart on average.
+    /// Records the end of a stream whose events were `event_ms` apart on average.
     pub fn note_stream_pace(&mut self, now: ClockTime, service: &ServiceName, event_ms: f64) {
         let meter = self.meter(now, service);
         let pace = meter.pace.get_or_insert_with(|| PaceMeter::new(event_ms));
         pace.note(event_ms.max(1.0));
     }
 
-    /// What this entry's requests ask for, by service.
+    /// Demand of the requests of this entry, by service.
     pub fn local(&mut self, now: ClockTime) -> Vec<(ServiceName, EngineDemand)> {
         let meters = self.local.iter_mut().map(|(service, meter)| {
             meter.advance(now);
@@ -227,7 +232,7 @@
         meters.collect()
     }
 
-    /// Another entry told what its requests ask for.
+    /// Records the demand that another entry reported.
     pub fn note_peer(
         &mut self,
         now: ClockTime,
@@ -235,11 +240,12 @@
         service: ServiceName,
         demand: EngineDemand,
     ) {
-        let reports = PeerDemand { at: now, demand };
-        self.reports.insert((service, peer.clone()), reports);
+        let report = PeerDemand { at: now, demand };
+        self.reports.insert((service, peer.clone()), report);
     }
 
-    /// An entry of another failure domain told what all entries there ask for.
+    /// Records the summed demand of another failure domain that one of its entries
+    /// reported.
     pub fn note_domain(
         &mut self,
         now: ClockTime,
@@ -247,34 +253,39 @@
         service: ServiceName,
         demand: EngineDemand,
     ) {
-        let reports = PeerDemand { at: now, demand };
-        self.domains.insert((service, domain.clone()), reports);
+        let report = PeerDemand { at: now, demand };
+        self.domains.insert((service, domain.clone()), report);
     }
 
-    /// What this entry and those that it hears ask for, by service: the sum of its
-    /// failure domain where only the entries there are heard one by one.
-    pub fn direct(&mut self, now: ClockTime) -> Vec<(ServiceName, EngineDemand)> {
+    /// Demand of this entry and of the entries that report to it individually, by
+    /// service. Where only entries of the same failure domain do, it is the sum of the
+    /// failure domain.
+    pub fn directly_reported(&mut self, now: ClockTime) -> Vec<(ServiceName, EngineDemand)> {
         self.reports
-            .retain(|_, reports| now.since(reports.at) < REPORT_LIFE);
+            .retain(|_, report| now.since(report.at) < MAX_REPORT_AGE);
         let mut sums: BTreeMap<ServiceName, EngineDemand> = self.local(now).into_iter().collect();
-        for ((service, _), reports) in &self.reports {
+        for ((service, _), report) in &self.reports {
             let sum = sums.entry(service.clone()).or_default();
-            *sum = sum.plus(reports.demand);
+            *sum = sum.plus(report.demand);
         }
         sums.into_iter().collect()
     }
 
-    /// What all entries ask for of a service.
+    /// Demand of all entries for a service.
     pub fn total(&mut self, now: ClockTime, service: &ServiceName) -> EngineDemand {
         self.domains
-            .retain(|_, reports| now.since(reports.at) < REPORT_LIFE);
-        let heard = self.direct(now);
-        let heard = heard.into_iter().find(|(name, _)| name == service);
-        let heard = heard.map(|(_, demand)| demand).unwrap_or_default();
+            .retain(|_, report| now.since(report.at) < MAX_REPORT_AGE);
+        let directly_reported = self.directly_reported(now);
+        let directly_reported = directly_reported
+            .into_iter()
+            .find(|(name, _)| name == service);
+        let directly_reported = directly_reported
+            .map(|(_, demand)| demand)
+            .unwrap_or_default();
         let domains = self.domains.iter().filter(|((name, _), _)| name == service);
         domains
-            .map(|(_, reports)| reports.demand)
-            .fold(heard, EngineDemand::plus)
+            .map(|(_, report)| report.demand)
+            .fold(directly_reported, EngineDemand::plus)
     }
 
     fn meter(&mut self, now: ClockTime, service: &ServiceName) -> &mut DemandMeter {
@@ -287,35 +298,35 @@
     }
 }
 
-/// An average that settles with the time that was seen.
+/// A moving average whose averaging time grows with the time observed.
 #[derive(Clone, Copy, Debug)]
 pub struct SmoothedEstimate {
-    figure: f64,
+    value: f64,
     since: ClockTime,
     at: ClockTime,
 }
 
 impl SmoothedEstimate {
-    /// Begins with a guess.
+    /// Creates an estimate that starts with `guess`.
     pub fn new(now: ClockTime, guess: f64) -> SmoothedEstimate {
         SmoothedEstimate {
-            figure: guess,
+            value: guess,
             since: now,
             at: now,
         }
     }
 
-    /// Takes the figure of now.
-    pub fn note(&mut self, now: ClockTime, figure: f64) {
-        let seen = now.since(self.since);
-        let over = seen.max(SMOOTHING_TIME.0).min(SMOOTHING_TIME.1);
-        let kept = kept(now.since(self.at), over);
-        self.figure = averaged(self.figure, figure, kept);
+    /// Updates the estimate with the current value.
+    pub fn note(&mut self, now: ClockTime, value: f64) {
+        let observed = now.since(self.since);
+        let over = observed.max(SMOOTHING_TIME.0).min(SMOOTHING_TIME.1);
+        let decay = decay_after(now.since(self.at), over);
+        self.value = decayed(self.value, value, decay);
         self.at = now;
     }
 
-    /// What to reckon with.
-    pub fn figure(&self) -> f64 {
-        self.figure
+    /// The current estimate.
+    pub fn value(&self) -> f64 {
+        self.value
     }
 }
--- a/crates/core/src/provision/mod.rs
+++ b/crates/core/src/provision/mod.rs
@@ -1,13 +1,14 @@
-//! How many endpoints there are, of which kind, and what engines do.
+//! Plans the number and kind of endpoints and the stages of engines.
 //!
-//! Endpoints are the largest price of a day. Preemptible ones cost about a sixth
-//! of the others, but a whole failure domain of them goes within some seconds of
-//! the notice, at times with no more to be had. Prefills fit them: a prefill that
-//! is lost has run nothing and is simply done elsewhere. So each failure domain has
-//! preemptible engines beside its lasting ones.
+//! Endpoints are the largest part of the running cost. Preemptible endpoints cost about
+//! a sixth of reserved ones, but all of them in a failure domain can be withdrawn
+//! within some seconds of the notice, and for a time no replacement may be available.
+//! They are suitable for prefills: a prefill that is lost has run nothing and is simply
+//! repeated on another engine. Each failure domain therefore has preemptible engines in
+//! addition to its reserved ones.
 //!
-//! Which of them prefill and which run requests follows from the work that entries
-//! see ([`StagePlan`]).
+//! Which engines prefill and which run requests follows from the work that the entries
+//! measure ([`StagePlan`]).
 
 mod demand;
 mod stages;
@@ -27,82 +28,84 @@
     ingress::{EngineRule, ScalingRule},
 };
 
-/// The lasting engines that are kept in a failure domain, as a share of those
-/// that it had at first.
-const LASTING_SHARE: f64 = 1.0;
+/// Reserved engines that are kept in a failure domain, as a share of its baseline.
+const RESERVED_SHARE: f64 = 1.0;
 
-/// Preemptible engines ordered for each engine that a failure domain had at first:
-/// so many that the loss of a failure domain's leaves the others enough.
+/// Preemptible engines per engine in the baseline of a failure domain. It is high
+/// enough that the remaining failure domains have sufficient engines when those of one
+/// are withdrawn.
 const PREEMPTIBLE_FACTOR: f64 = 1.0;
 
-/// How long after an order its outcome is awaited beyond the time to boot.
+/// Time beyond the boot time after which an order without effect is repeated.
 const ORDER_SLACK: TimeSpan = TimeSpan::from_millis(2_500);
 
-/// How long no more preemptible endpoints are asked for where there were none.
-const UNAVAILABLE_FOR: TimeSpan = TimeSpan::from_millis(3_000);
+/// Time during which no preemptible endpoints are ordered in a failure domain where
+/// none were available.
+const UNAVAILABLE_DELAY: TimeSpan = TimeSpan::from_millis(3_000);
 
-/// How long after endpoints were given up in one failure domain they may be given
-/// up in the next: they leave within some seconds.
+/// Minimum time between reductions in two failure domains: endpoints take some seconds
+/// to stop.
 const REDUCE_INTERVAL: TimeSpan = TimeSpan::from_millis(5_000);
 
-/// For how long nothing may have appeared before the first order: all endpoints
-/// register within a heartbeat or two of the system's start, and a planner that
-/// began with the first of them would take it for all there are.
-const SETTLE: TimeSpan = TimeSpan::from_millis(1_300);
+/// Time without new endpoints that is required before the first order. All endpoints
+/// register within one or two heartbeats of the start of the system; a planner that
+/// started with the first of them would take it for the whole fleet.
+const SETTLE_TIME: TimeSpan = TimeSpan::from_millis(1_300);
 
-/// What a failure domain had when it was first seen, for a service.
+/// Number of endpoints of a service that a failure domain had when it was first
+/// observed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct DomainBaseline {
     /// The service.
     pub service: ServiceName,
     /// The failure domain.
     pub domain: FailureDomain,
-    /// Its endpoints then.
+    /// The number of endpoints.
     pub endpoints: u32,
 }
 
-/// A service whose endpoints can be ordered.
+/// A service and the state that its plan is based on.
 #[derive(Clone, Copy, Debug)]
 pub struct ProvisionService<'a> {
     /// Its name.
     pub name: &'a ServiceName,
-    /// What may be ordered.
+    /// Limits and prices of its endpoints; `None` if no endpoints can be ordered.
     pub scaling: Option<&'a ScalingRule>,
-    /// What its engines are like.
+    /// Properties of its engines; `None` if its endpoints are no engines.
     pub engine: Option<&'a EngineRule>,
-    /// What its requests ask of them now.
+    /// Current demand of its requests on the engines.
     pub demand: EngineDemand,
 }
 
-/// Something to be ordered.
+/// An order that is to be given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProvisionStep {
-    /// A number of endpoints of one kind.
+    /// The number of endpoints of one kind in a failure domain.
     Count {
         /// The service.
         service: ServiceName,
         /// The failure domain.
         domain: FailureDomain,
-        /// Whether they may be withdrawn at short notice.
+        /// Whether the endpoints are preemptible.
         preemptible: bool,
-        /// How many there are to be.
+        /// Number of endpoints that there should be.
         count: u32,
-        /// How many there are.
+        /// Number of endpoints that there are.
         present: u32,
     },
-    /// Another stage for an engine.
+    /// A change of the stage of an engine.
     Stage {
         /// The service.
         service: ServiceName,
         /// The engine.
         endpoint: EndpointId,
-        /// The stage.
+        /// The new stage.
         stage: EngineStage,
     },
 }
 
 impl ProvisionStep {
-    /// The service that it is for.
+    /// The service that the order belongs to.
     pub fn service(&self) -> &ServiceName {
         match self {
             ProvisionStep::Count { service, .. } | ProvisionStep::Stage { service, .. } => service,
@@ -118,23 +121,24 @@
     at: ClockTime,
 }
 
-/// What a failure domain is to have.
+/// Number of endpoints that a failure domain should have.
 #[derive(Clone, Copy, Debug)]
 struct DomainTarget {
-    lasting: u32,
+    reserved: u32,
     preemptible: u32,
 }
 
 impl DomainTarget {
-    fn new(scaling: &ScalingRule, base: u32) -> DomainTarget {
-        let lasting = ((f64::from(base) * LASTING_SHARE).ceil() as u32).max(scaling.least.min(1));
-        let room = scaling.most.saturating_sub(lasting);
+    fn new(scaling: &ScalingRule, baseline: u32) -> DomainTarget {
+        let reserved =
+            ((f64::from(baseline) * RESERVED_SHARE).ceil() as u32).max(scaling.least.min(1));
+        let headroom = scaling.most.saturating_sub(reserved);
         let preemptible = match scaling.preemptible_price {
-            Some(_) => ((f64::from(base) * PREEMPTIBLE_FACTOR).ceil() as u32).min(room),
+            Some(_) => ((f64::from(baseline) * PREEMPTIBLE_FACTOR).ceil() as u32).min(headroom),
             None => 0,
         };
         DomainTarget {
-            lasting: if preemptible == 0 { base } else { lasting },
+            reserved: if preemptible == 0 { baseline } else { reserved },
             preemptible,
         }
     }
@@ -142,55 +146,58 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct DomainCounts {
-    lasting: u32,
+    reserved: u32,
     preemptible: u32,
-    /// Preemptible engines that have taken up their work.
-    at_work: u32,
+    /// Preemptible engines that are not in the decode stage: these have taken over the
+    /// work that they are ordered for.
+    in_service: u32,
 }
 
-/// What the steward has ordered and waits for.
+/// Orders that the leader has given and whose effect is pending, and the state that
+/// further orders depend on.
 #[derive(Clone, Debug, Default)]
 pub struct ProvisionPlanner {
-    bases: BTreeMap<(ServiceName, FailureDomain), u32>,
+    baselines: BTreeMap<(ServiceName, FailureDomain), u32>,
     orders: BTreeMap<OrderKey, PlacedOrder>,
-    unavailable: BTreeMap<(ServiceName, FailureDomain), ClockTime>,
+    unavailable_until: BTreeMap<(ServiceName, FailureDomain), ClockTime>,
     stages: BTreeMap<ServiceName, StagePlan>,
     reduced_at: Option<ClockTime>,
-    seen: BTreeMap<ServiceName, SeenEndpoints>,
+    observed: BTreeMap<ServiceName, ObservedEndpoints>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct SeenEndpoints {
+struct ObservedEndpoints {
     count: usize,
     since: ClockTime,
 }
 
 impl ProvisionPlanner {
-    /// Nothing ordered.
+    /// Creates a planner that has given no orders.
     pub fn new() -> ProvisionPlanner {
         ProvisionPlanner::default()
     }
 
-    /// Takes over what an earlier steward saw first.
-    pub fn set_baseline(&mut self, base: DomainBaseline) {
-        let key = (base.service, base.domain);
-        self.bases.entry(key).or_insert(base.endpoints);
+    /// Sets the baseline that an earlier leader recorded. A baseline that is already
+    /// known stays.
+    pub fn set_baseline(&mut self, baseline: DomainBaseline) {
+        let key = (baseline.service, baseline.domain);
+        self.baselines.entry(key).or_insert(baseline.endpoints);
     }
 
-    /// What was seen first, to be handed on.
+    /// The baselines, to be handed over to the next leader.
     pub fn baselines(&self) -> Vec<DomainBaseline> {
-        let bases = self
-            .bases
-            .iter()
-            .map(|((service, domain), endpoints)| DomainBaseline {
-                service: service.clone(),
-                domain: domain.clone(),
-                endpoints: *endpoints,
-            });
-        bases.collect()
+        let baselines =
+            self.baselines
+                .iter()
+                .map(|((service, domain), endpoints)| DomainBaseline {
+                    service: service.clone(),
+                    domain: domain.clone(),
+                    endpoints: *endpoints,
+                });
+        baselines.collect()
     }
 
-    /// What is to be ordered for a service now.
+    /// The orders that are due for a service.
     pub fn steps<'a, Registered>(
         &mut self,
         now: ClockTime,
@@ -207,34 +214,34 @@
         if !self.has_settled(now, service.name, endpoints.len()) {
             return steps;
         }
-        let mut wanted = BTreeMap::new();
+        let mut desired = BTreeMap::new();
         if let Some(scaling) = service.scaling {
-            wanted = self.count_steps(now, service.name, scaling, &endpoints, &mut steps);
+            desired = self.count_steps(now, service.name, scaling, &endpoints, &mut steps);
         }
         if let Some(engine) = service.engine {
             let stages = self.stages.entry(service.name.clone()).or_default();
-            steps.extend(stages.steps(now, engine, service.demand, &endpoints, &wanted));
+            steps.extend(stages.steps(now, engine, service.demand, &endpoints, &desired));
         }
         steps
     }
 
-    /// What is planned for the stages of the service's engines.
+    /// The plan for the stages of the engines of a service.
     pub fn stage_plan(&self, service: &ServiceName) -> Option<&StagePlan> {
         self.stages.get(service)
     }
 
     fn has_settled(&mut self, now: ClockTime, service: &ServiceName, count: usize) -> bool {
-        if self.bases.keys().any(|(name, _)| name == service) {
+        if self.baselines.keys().any(|(name, _)| name == service) {
             return true;
         }
-        let seen = self
-            .seen
+        let observed = self
+            .observed
             .entry(service.clone())
-            .or_insert(SeenEndpoints { count, since: now });
-        if seen.count != count {
-            *seen = SeenEndpoints { count, since: now };
+            .or_insert(ObservedEndpoints { count, since: now });
+        if observed.count != count {
+            *observed = ObservedEndpoints { count, since: now };
         }
-        count > 0 && now.since(seen.since) >= SETTLE
+        count > 0 && now.since(observed.since) >= SETTLE_TIME
     }
 
     fn count_steps(
@@ -245,42 +252,42 @@
         endpoints: &[&EndpointRegistration],
         steps: &mut Vec<ProvisionStep>,
     ) -> BTreeMap<FailureDomain, u32> {
-        let mut wanted = BTreeMap::new();
+        let mut desired = BTreeMap::new();
         let mut counts: BTreeMap<FailureDomain, DomainCounts> = BTreeMap::new();
         for endpoint in endpoints.iter().filter(|endpoint| !endpoint.is_leaving) {
             let count = counts.entry(endpoint.domain.clone()).or_default();
             match endpoint.is_preemptible {
                 true => {
                     count.preemptible += 1;
-                    let works = endpoint.stage != Some(EngineStage::Decode);
-                    count.at_work += u32::from(works);
+                    let is_in_service = endpoint.stage != Some(EngineStage::Decode);
+                    count.in_service += u32::from(is_in_service);
                 }
-                false => count.lasting += 1,
+                false => count.reserved += 1,
             }
         }
         for (domain, count) in &counts {
             let key = (service.clone(), domain.clone());
-            let present = count.lasting + count.preemptible;
-            self.bases.entry(key).or_insert(present);
+            let present = count.reserved + count.preemptible;
+            self.baselines.entry(key).or_insert(present);
         }
-        let bases: Vec<(FailureDomain, u32)> = self
-            .bases
+        let baselines: Vec<(FailureDomain, u32)> = self
+            .baselines
             .iter()
             .filter(|((name, _), _)| name == service)
-            .map(|((_, domain), base)| (domain.clone(), *base))
+            .map(|((_, domain), baseline)| (domain.clone(), *baseline))
             .collect();
-        for (domain, base) in bases {
+        for (domain, baseline) in baselines {
             let count = counts.get(&domain).copied().unwrap_or_default();
-            let target = DomainTarget::new(scaling, base);
+            let target = DomainTarget::new(scaling, baseline);
             let step = self.domain_step(now, service, &domain, scaling, target, count);
             steps.extend(step);
-            wanted.insert(domain, target.lasting + target.preemptible);
+            desired.insert(domain, target.reserved + target.preemptible);
         }
-        wanted
+        desired
     }
 
-    /// The next order for one failure domain: more first, fewer only when what
-    /// replaces them is there.
+    /// The next order for one failure domain. Endpoints are added first; their number
+    /// is reduced only when the endpoints that replace them are in service.
     fn domain_step(
         &mut self,
         now: ClockTime,
@@ -291,40 +298,43 @@
         count: DomainCounts,
     ) -> Option<ProvisionStep> {
         let DomainTarget {
-            lasting,
+            reserved,
             preemptible,
         } = target;
         let key = (service.clone(), domain.clone());
-        let is_available = self.unavailable.get(&key).is_none_or(|until| now >= *until);
-        let room_now = scaling.most.saturating_sub(count.lasting);
-        let wanted = preemptible.min(room_now);
-        let order = |planner: &mut ProvisionPlanner, preemptible, wanted, present| {
-            planner.order(now, service, domain, scaling, preemptible, wanted, present)
+        let is_available = self
+            .unavailable_until
+            .get(&key)
+            .is_none_or(|until| now >= *until);
+        let current_headroom = scaling.most.saturating_sub(count.reserved);
+        let desired = preemptible.min(current_headroom);
+        let order = |planner: &mut ProvisionPlanner, preemptible, desired, present| {
+            planner.order(now, service, domain, scaling, preemptible, desired, present)
         };
-        if count.preemptible < wanted
+        if count.preemptible < desired
             && is_available
-            && let Some(step) = order(self, true, wanted, count.preemptible)
+            && let Some(step) = order(self, true, desired, count.preemptible)
         {
             return Some(step);
         }
-        if count.lasting < lasting {
-            return order(self, false, lasting, count.lasting);
+        if count.reserved < reserved {
+            return order(self, false, reserved, count.reserved);
         }
-        let replaced = count.at_work * 2 >= preemptible;
-        if count.lasting > lasting && replaced && self.may_reduce(now) {
-            return order(self, false, lasting, count.lasting);
+        let is_replaced = count.in_service * 2 >= preemptible;
+        if count.reserved > reserved && is_replaced && self.may_reduce(now) {
+            return order(self, false, reserved, count.reserved);
         }
         None
     }
 
-    /// Endpoints are given up in one failure domain at a time, and not while
-    /// engines are away: which of them go is the platform's choice, and those that
-    /// stay may have to change their stage.
+    /// Whether endpoints may be removed now. They are removed in one failure domain at
+    /// a time, and not while engines change their stage: the platform selects the
+    /// endpoints that stop, and the remaining ones may have to change their stage.
     fn may_reduce(&self, now: ClockTime) -> bool {
-        let is_calm = self
+        let is_interval_over = self
             .reduced_at
             .is_none_or(|at| now.since(at) >= REDUCE_INTERVAL);
-        is_calm && self.stages.values().all(StagePlan::is_settled)
+        is_interval_over && self.stages.values().all(StagePlan::is_settled)
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -339,9 +349,9 @@
         present: u32,
     ) -> Option<ProvisionStep> {
         let key = (service.clone(), domain.clone(), preemptible);
-        let patience = scaling.boot + ORDER_SLACK;
-        let placed = self.orders.get(&key);
-        if placed.is_some_and(|order| order.count == count && now.since(order.at) < patience) {
+        let timeout = scaling.boot + ORDER_SLACK;
+        let pending = self.orders.get(&key);
+        if pending.is_some_and(|order| order.count == count && now.since(order.at) < timeout) {
             return None;
         }
         Some(ProvisionStep::Count {
@@ -353,7 +363,8 @@
         })
     }
 
-    /// The order was given. Whether it was heard is seen by its effect alone.
+    /// Records that the order was sent. Whether it was received shows only in its
+    /// effect.
     pub fn note_ordered(&mut self, now: ClockTime, step: &ProvisionStep) {
         match step {
             ProvisionStep::Count {
@@ -382,7 +393,8 @@
         }
     }
 
-    /// There are no preemptible endpoints to be had there at the moment.
+    /// Records that no preemptible endpoints are available in a failure domain at the
+    /// moment.
     pub fn note_unavailable(
         &mut self,
         now: ClockTime,
@@ -390,7 +402,7 @@
         domain: &FailureDomain,
     ) {
         let key = (service.clone(), domain.clone());
-        self.unavailable.insert(key, now + UNAVAILABLE_FOR);
+        self.unavailable_until.insert(key, now + UNAVAILABLE_DELAY);
         let order = (service.clone(), domain.clone(), true);
         self.orders.remove(&order);
     }
--- a/crates/core/src/provision/stages.rs
+++ b/crates/core/src/provision/stages.rs
@@ -1,9 +1,9 @@
-//! Which engines prefill and which run requests.
+//! Plans which engines prefill and which run requests.
 //!
-//! An engine that prefills stretches the pauses of the streams that it runs: each
-//! of their tokens waits for a piece of a prompt. With the stages apart, no stream
-//! waits for a prompt. How many engines each stage needs follows from the work that
-//! entries see, and changes with it; each change takes an engine away for seconds.
+//! An engine that prefills delays the streams that it runs: each of their tokens waits
+//! for a chunk of a prompt. With separate stages, no stream waits for a prompt. The
+//! number of engines for each stage follows from the work that the entries measure, and
+//! changes with it; each change makes an engine unavailable for seconds.
 
 use std::collections::BTreeMap;
 
@@ -17,49 +17,51 @@
     provision::{EngineDemand, ProvisionStep, demand::SmoothedEstimate},
 };
 
-/// The share of its time that an engine may prefill at most before engines that run
-/// requests are given up for it: beyond it prompts wait longer than they take.
-const PREFILL_USE: f64 = 0.6;
+/// Maximum share of its time that an engine should prefill. Above it, prompts wait
+/// longer than their prefill takes, and engines that run requests are changed to the
+/// prefill stage.
+const MAX_PREFILL_UTILISATION: f64 = 0.6;
 
-/// How far an engine is to be crowded by what runs on it. The number of tokens that
-/// engines generate grows ever less with more requests at once; near the end of that
-/// a burst finds no slot anywhere.
-const CROWDING_USE: f64 = 0.38;
+/// Target contention of the engines that run requests. The rate at which an engine
+/// generates tokens grows less and less with the number of its requests; close to the
+/// limit, a burst finds no free slot on any engine.
+const TARGET_CONTENTION: f64 = 0.38;
 
-/// The share of its slots or memory that an engine is to have running.
-const HELD_USE: f64 = 0.5;
+/// Target share of the slots or the memory of an engine that running requests take.
+const TARGET_HELD_SHARE: f64 = 0.5;
 
-/// The share of the engines that runs requests as long as nothing is known.
-const FIRST_RUN_SHARE: f64 = 0.3;
+/// Share of the engines that run requests as long as the demand is unknown.
+const INITIAL_DECODE_SHARE: f64 = 0.3;
 
-/// From how many running requests on their speed says something.
-const KNOWN_FROM: f64 = 2.0;
+/// Minimum number of running requests for which their speed is significant.
+const MIN_RUNNING: f64 = 2.0;
 
-/// By what share of what was planned the need has to go beyond a whole number of engines
-/// before the number is changed.
-const MARGIN: f64 = 0.1;
-/// By how many engines it has to at least.
-const LEAST_MARGIN: f64 = 0.1;
+/// Share of the planned number by which the need has to exceed a whole number of
+/// engines before the plan changes.
+const REPLAN_MARGIN: f64 = 0.1;
+/// Minimum of this margin, in engines.
+const MIN_REPLAN_MARGIN: f64 = 0.1;
 
-/// The share of a service's engines that may change their stage at a time.
-const SWITCHING_SHARE: f64 = 0.34;
+/// Maximum share of the engines of a service that change their stage at the same time.
+const MAX_SWITCHING_SHARE: f64 = 0.34;
 
-/// How long an engine is left alone after an order, beyond the time it takes: it
-/// first lets its running work come to an end.
+/// Time beyond the duration of a stage change during which an engine gets no further
+/// order: the engine first lets its running requests end.
 const SWITCH_SLACK: TimeSpan = TimeSpan::from_millis(5_000);
 
-/// The stages of one service's engines.
+/// Plan for the stages of the engines of one service.
 #[derive(Clone, Debug, Default)]
 pub struct StagePlan {
-    /// How many engines of each failure domain are to run requests.
-    runners: BTreeMap<FailureDomain, usize>,
-    /// Engines that were ordered to change, and when.
+    /// Planned number of engines that run requests, by failure domain.
+    decode_engines: BTreeMap<FailureDomain, usize>,
+    /// Engines that were ordered to change their stage, and the time of the order.
     switching: BTreeMap<EndpointId, ClockTime>,
-    /// What the work needs; none as long as too little was seen.
-    learnt: Option<EstimatedNeeds>,
+    /// Estimated number of engines that each stage needs; `None` until enough was
+    /// measured.
+    estimated: Option<EstimatedNeeds>,
 }
 
-/// What was needed on average.
+/// Smoothed numbers of engines that the stages need.
 #[derive(Clone, Copy, Debug)]
 struct EstimatedNeeds {
     prefill: SmoothedEstimate,
@@ -69,73 +71,76 @@
 /// The engines of one failure domain.
 #[derive(Clone, Debug, Default)]
 struct DomainEngines<'a> {
-    /// Those that are there; the ones that are to run requests come first.
+    /// The registered engines; those that should run requests come first.
     present: Vec<&'a EndpointRegistration>,
-    /// How many there are to be.
-    wanted: usize,
+    /// Number of engines that there should be.
+    desired: usize,
 }
 
 impl StagePlan {
-    /// What the work needs; none as long as too little was seen.
+    /// Estimated number of engines that each stage needs; `None` until enough was
+    /// measured.
     pub fn needs(&self) -> Option<StageNeeds> {
-        self.learnt.map(|learnt| StageNeeds {
-            prefill: learnt.prefill.figure(),
-            run: learnt.run.figure(),
+        self.estimated.map(|estimated| StageNeeds {
+            prefill: estimated.prefill.value(),
+            run: estimated.run.value(),
         })
     }
 
-    /// How many engines of each failure domain are to run requests.
+    /// Planned number of engines that run requests, by failure domain.
     pub fn decode_engines(&self) -> &BTreeMap<FailureDomain, usize> {
-        &self.runners
+        &self.decode_engines
     }
 
-    /// Whether no engine is away to change its stage.
+    /// Whether no change of a stage is pending.
     pub fn is_settled(&self) -> bool {
         self.switching.is_empty()
     }
 
-    /// An engine was ordered to change its stage.
+    /// Records that an engine was ordered to change its stage.
     pub fn note_ordered(&mut self, now: ClockTime, engine: &EndpointId) {
         self.switching.insert(engine.clone(), now);
     }
 
-    /// The changes to be ordered now. `wanted` says how many engines a failure domain
-    /// is to have; more may be on their way.
+    /// The stage changes to order now. `desired` is the number of engines that each
+    /// failure domain should have; some of them may not have registered yet.
     pub fn steps(
         &mut self,
         now: ClockTime,
         rule: &EngineRule,
         demand: EngineDemand,
         endpoints: &[&EndpointRegistration],
-        wanted: &BTreeMap<FailureDomain, u32>,
+        desired: &BTreeMap<FailureDomain, u32>,
     ) -> Vec<ProvisionStep> {
-        let patience = rule.stage_switch + SWITCH_SLACK;
-        self.switching.retain(|_, at| now.since(*at) < patience);
+        let timeout = rule.stage_switch + SWITCH_SLACK;
+        self.switching.retain(|_, at| now.since(*at) < timeout);
         let staged = endpoints
             .iter()
             .filter(|endpoint| endpoint.stage.is_some() && !endpoint.is_leaving);
         let staged: Vec<&EndpointRegistration> = staged.copied().collect();
-        self.take_needs(now, demand, &staged);
-        let domains = by_domain(&staged, wanted);
-        self.plan_runners(&domains);
-        let most = ((staged.len() as f64 * SWITCHING_SHARE).ceil() as usize).max(1);
-        let mut room = most.saturating_sub(self.switching.len());
+        self.update_needs(now, demand, &staged);
+        let domains = group_by_domain(&staged, desired);
+        self.plan_decode_engines(&domains);
+        let max_switching = ((staged.len() as f64 * MAX_SWITCHING_SHARE).ceil() as usize).max(1);
+        let mut remaining = max_switching.saturating_sub(self.switching.len());
         let mut steps = Vec::new();
         for (domain, engines) in domains {
-            let runners = self.runners.get(&domain).copied().unwrap_or(1);
-            // One engine for each stage is the least, as long as there are two.
-            let runners = runners.min(engines.present.len().saturating_sub(1)).max(1);
-            for (place, engine) in engines.present.into_iter().enumerate() {
-                let stage = match place < runners {
+            let decode_engines = self.decode_engines.get(&domain).copied().unwrap_or(1);
+            // At least one engine for each stage, if there are two engines.
+            let decode_engines = decode_engines
+                .min(engines.present.len().saturating_sub(1))
+                .max(1);
+            for (index, engine) in engines.present.into_iter().enumerate() {
+                let stage = match index < decode_engines {
                     true => EngineStage::Decode,
                     false => EngineStage::Prefill,
                 };
                 let is_due =
                     engine.stage != Some(stage) && !self.switching.contains_key(&engine.id);
-                if !is_due || room == 0 {
+                if !is_due || remaining == 0 {
                     continue;
                 }
-                room -= 1;
+                remaining -= 1;
                 steps.push(ProvisionStep::Stage {
                     service: engine.service.clone(),
                     endpoint: engine.id.clone(),
@@ -146,49 +151,52 @@
         steps
     }
 
-    fn take_needs(
+    fn update_needs(
         &mut self,
         now: ClockTime,
         demand: EngineDemand,
         staged: &[&EndpointRegistration],
     ) {
-        let runners = staged
+        let decode_engines = staged
             .iter()
             .filter(|engine| engine.stage == Some(EngineStage::Decode));
-        let Some(needs) = StageNeeds::new(demand, runners.count()) else {
+        let Some(needs) = StageNeeds::new(demand, decode_engines.count()) else {
             return;
         };
-        let learnt = self.learnt.get_or_insert_with(|| EstimatedNeeds {
+        let estimated = self.estimated.get_or_insert_with(|| EstimatedNeeds {
             prefill: SmoothedEstimate::new(now, needs.prefill),
-            run: SmoothedEstimate::new(now, staged.len() as f64 * FIRST_RUN_SHARE),
+            run: SmoothedEstimate::new(now, staged.len() as f64 * INITIAL_DECODE_SHARE),
         });
-        learnt.prefill.note(now, needs.prefill);
-        learnt.run.note(now, needs.run);
+        estimated.prefill.note(now, needs.prefill);
+        estimated.run.note(now, needs.run);
     }
 
-    /// Divides the engines that are to run requests among the failure domains, to each
-    /// by its engines: one that is cut off has to serve its own callers with them.
-    fn plan_runners(&mut self, domains: &BTreeMap<FailureDomain, DomainEngines<'_>>) {
-        let total: usize = domains.values().map(|engines| engines.wanted).sum();
-        let needed = self.needs().map(|needs| needs.runners(total));
+    /// Divides the engines that should run requests among the failure domains in
+    /// proportion to their engines, because a partitioned domain has to serve its own
+    /// callers with them.
+    fn plan_decode_engines(&mut self, domains: &BTreeMap<FailureDomain, DomainEngines<'_>>) {
+        let total: usize = domains.values().map(|engines| engines.desired).sum();
+        let needed = self.needs().map(|needs| needs.decode_engines(total));
         for (domain, engines) in domains {
-            let share = engines.wanted as f64 / total.max(1) as f64;
-            let planned = self.runners.get(domain).copied();
-            let runners = match (planned, needed) {
+            let share = engines.desired as f64 / total.max(1) as f64;
+            let planned = self.decode_engines.get(domain).copied();
+            let decode_engines = match (planned, needed) {
                 (Some(planned), Some(needed)) => replanned(planned, needed * share),
-                _ => (engines.present.len() as f64 * FIRST_RUN_SHARE).round() as usize,
+                _ => (engines.present.len() as f64 * INITIAL_DECODE_SHARE).round() as usize,
             };
-            self.runners.insert(domain.clone(), runners.max(1));
+            self.decode_engines
+                .insert(domain.clone(), decode_engines.max(1));
         }
     }
 }
 
-/// How many engines of a failure domain are to run requests if `planned` were to and
-/// `needed` are. A change takes engines away for seconds; a need that moves around the
-/// border between two numbers must not cost one each time.
+/// Number of engines of a failure domain that should run requests when `planned` were
+/// planned and `needed` are needed. A change makes engines unavailable for seconds, so
+/// a need that moves around the border between two numbers must not cause a change each
+/// time.
 fn replanned(planned: usize, needed: f64) -> usize {
     let count = planned as f64;
-    let margin = LEAST_MARGIN.max(count * MARGIN);
+    let margin = MIN_REPLAN_MARGIN.max(count * REPLAN_MARGIN);
     let is_enough = needed <= count + margin;
     let is_too_many = needed < count - 1.0 - margin;
     match is_enough && !is_too_many {
@@ -197,34 +205,35 @@
     }
 }
 
-/// How many engines the work needs.
+/// Number of engines that the stages need.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct StageNeeds {
-    /// Engines that prefill, at the most use that is allowed.
+    /// Engines that prefill, at their maximum utilisation.
     pub prefill: f64,
     /// Engines that run requests.
     pub run: f64,
 }
 
 impl StageNeeds {
-    /// What `demand` needs, seen while `runners` engines ran requests. Nothing as
-    /// long as too little runs to tell.
-    fn new(demand: EngineDemand, runners: usize) -> Option<StageNeeds> {
-        if demand.running < KNOWN_FROM || demand.speed.is_none() {
+    /// Number of engines that `demand` needs, measured while `decode_engines` engines
+    /// ran requests. `None` if too little runs for an estimate.
+    fn new(demand: EngineDemand, decode_engines: usize) -> Option<StageNeeds> {
+        if demand.running < MIN_RUNNING || demand.speed.is_none() {
             return None;
         }
-        let crowded = demand.crowding() * runners as f64 / CROWDING_USE;
+        let by_contention = demand.contention() * decode_engines as f64 / TARGET_CONTENTION;
         Some(StageNeeds {
-            prefill: demand.prefill / PREFILL_USE,
-            run: crowded.max(demand.held / HELD_USE),
+            prefill: demand.prefill / MAX_PREFILL_UTILISATION,
+            run: by_contention.max(demand.held / TARGET_HELD_SHARE),
         })
     }
 
-    /// How many of `engines` are to run requests.
+    /// Number of the `engines` that should run requests.
     ///
-    /// Too few of them stop every stream at once, while prefills only wait longer; so
-    /// they come first, unless there are too few engines for both.
-    fn runners(self, engines: usize) -> f64 {
+    /// Too few of these engines slow down all streams at once, while too few engines
+    /// that prefill only make prompts wait longer. The engines that run requests
+    /// therefore take precedence, unless there are too few engines for both.
+    fn decode_engines(self, engines: usize) -> f64 {
         let engines = engines as f64;
         let total = self.run + self.prefill;
         match total > engines {
@@ -234,11 +243,11 @@
     }
 }
 
-/// The engines of each failure domain: first those that run requests already, as a
-/// change costs seconds, and of those the lasting ones.
-fn by_domain<'a>(
+/// Groups the engines by failure domain. Engines that already run requests come first,
+/// because a change costs seconds, and among them the reserved ones.
+fn group_by_domain<'a>(
     staged: &[&'a EndpointRegistration],
-    wanted: &BTreeMap<FailureDomain, u32>,
+    desired: &BTreeMap<FailureDomain, u32>,
 ) -> BTreeMap<FailureDomain, DomainEngines<'a>> {
     let mut domains: BTreeMap<FailureDomain, DomainEngines<'_>> = BTreeMap::new();
     for endpoint in staged {
@@ -250,8 +259,8 @@
             let runs = engine.stage == Some(EngineStage::Decode);
             (!runs, engine.is_preemptible, engine.id.clone())
         });
-        let wanted = wanted.get(domain).copied().unwrap_or_default();
-        engines.wanted = engines.present.len().max(wanted as usize);
+        let desired = desired.get(domain).copied().unwrap_or_default();
+        engines.desired = engines.present.len().max(desired as usize);
     }
     domains
 }
--- a/crates/core/tests/demand.rs
+++ b/crates/core/tests/demand.rs
@@ -1,4 +1,4 @@
-//! What entries see of the work that requests ask of engines.
+//! Measurement of the demand of requests on engines.
 
 use bluebell_core::{
     clock::ClockTime,
@@ -15,49 +15,50 @@
 }
 
 #[test]
-fn prefills_are_measured_in_engines_kept_busy() {
+fn prefills_are_measured_as_busy_engines() {
     // A prefill of 100 ms every 50 ms keeps two engines busy.
-    let mut board = DemandTable::new();
+    let mut table = DemandTable::new();
     for now in (0..30_000).step_by(50) {
-        board.prefill_sent(at(now), &service(), 100.0);
+        table.prefill_sent(at(now), &service(), 100.0);
     }
-    let demand = board.total(at(30_000), &service());
+    let demand = table.total(at(30_000), &service());
     assert!((demand.prefill - 2.0).abs() < 0.1, "{demand:?}");
 }
 
 #[test]
-fn what_runs_is_no_longer_counted_when_it_has_ended() {
-    let mut board = DemandTable::new();
+fn ended_requests_no_longer_count_as_running() {
+    let mut table = DemandTable::new();
     for _ in 0..10 {
-        board.run_started(at(0), &service(), 0.1);
+        table.run_started(at(0), &service(), 0.1);
     }
-    let running = board.total(at(20_000), &service());
+    let running = table.total(at(20_000), &service());
     assert!((running.held - 1.0).abs() < 0.05, "{running:?}");
     for _ in 0..10 {
-        board.run_ended(at(20_000), &service(), 0.1);
+        table.run_ended(at(20_000), &service(), 0.1);
     }
-    let ended = board.total(at(40_000), &service());
+    let ended = table.total(at(40_000), &service());
     assert!(ended.held < 0.05 && ended.running < 0.5, "{ended:?}");
 }
 
 #[test]
-fn streams_among_many_are_slower_than_the_first_ones() {
-    let mut board = DemandTable::new();
+fn speed_is_relative_to_uncontended_streams() {
+    let mut table = DemandTable::new();
     for now in 0..50 {
-        board.note_stream_pace(at(now * 100), &service(), 40.0);
+        table.note_stream_pace(at(now * 100), &service(), 40.0);
     }
     for now in 50..200 {
-        board.note_stream_pace(at(now * 100), &service(), 80.0);
+        table.note_stream_pace(at(now * 100), &service(), 80.0);
     }
-    let speed = board.total(at(20_000), &service()).speed.unwrap();
+    let speed = table.total(at(20_000), &service()).speed.unwrap();
     assert!((0.45..0.65).contains(&speed), "{speed}");
 }
 
 #[test]
-fn an_entry_that_is_cut_off_still_counts_for_a_while() {
-    // A failure domain is cut off from the steward, and its callers are still there. A
-    // steward that forgot them at once would take engines away from those who are left.
-    let mut board = DemandTable::new();
+fn the_demand_of_a_partitioned_entry_counts_for_a_while() {
+    // A failure domain is partitioned from the leader, and its callers are still there.
+    // If the leader dropped its demand at once, engines would be taken away from the
+    // callers that remain.
+    let mut table = DemandTable::new();
     let peer = InstanceId::new("entry-2").unwrap();
     let demand = EngineDemand {
         prefill: 3.0,
@@ -65,42 +66,42 @@
         running: 20.0,
         speed: Some(0.7),
     };
-    board.note_peer(at(0), &peer, service(), demand);
-    assert_eq!(board.total(at(5_000), &service()), demand);
-    let later = board.total(at(60_000), &service());
+    table.note_peer(at(0), &peer, service(), demand);
+    assert_eq!(table.total(at(5_000), &service()), demand);
+    let later = table.total(at(60_000), &service());
     assert_eq!(later, EngineDemand::default());
 }
 
-/// Guards against a sum of a failure domain that counts what others have summed up, and
-/// so grows with each word.
+/// Guards against a sum of a failure domain that includes the sums of other domains,
+/// and so grows with each report.
 #[test]
-fn the_sum_of_a_failure_domain_leaves_out_what_other_domains_ask_for() {
+fn the_sum_of_a_failure_domain_excludes_the_demand_of_other_domains() {
     let demand = |prefill| EngineDemand {
         prefill,
         ..EngineDemand::default()
     };
-    let mut board = DemandTable::new();
+    let mut table = DemandTable::new();
     let peer = InstanceId::new("entry-2").unwrap();
     let other = FailureDomain::new("b").unwrap();
-    board.note_peer(at(0), &peer, service(), demand(2.0));
-    board.note_domain(at(0), &other, service(), demand(5.0));
-    board.note_domain(at(100), &other, service(), demand(7.0));
-    assert_eq!(board.direct(at(200)), [(service(), demand(2.0))]);
-    assert_eq!(board.total(at(200), &service()), demand(9.0));
-    assert_eq!(board.total(at(60_000), &service()), demand(0.0));
+    table.note_peer(at(0), &peer, service(), demand(2.0));
+    table.note_domain(at(0), &other, service(), demand(5.0));
+    table.note_domain(at(100), &other, service(), demand(7.0));
+    assert_eq!(table.directly_reported(at(200)), [(service(), demand(2.0))]);
+    assert_eq!(table.total(at(200), &service()), demand(9.0));
+    assert_eq!(table.total(at(60_000), &service()), demand(0.0));
 }
 
-/// Guards against a plan that gives engines away in the first seconds of traffic, because
-/// averages that begin with nothing take what is asked for to be little.
+/// Guards against a plan that removes engines in the first seconds of traffic because
+/// averages that start at zero underestimate the demand.
 #[test]
 fn demand_is_known_soon_after_the_first_requests() {
-    let mut board = DemandTable::new();
+    let mut table = DemandTable::new();
     for now in (10_000..11_500).step_by(50) {
-        board.prefill_sent(at(now), &service(), 100.0);
-        board.run_started(at(now), &service(), 0.1);
-        board.run_ended(at(now + 25), &service(), 0.1);
+        table.prefill_sent(at(now), &service(), 100.0);
+        table.run_started(at(now), &service(), 0.1);
+        table.run_ended(at(now + 25), &service(), 0.1);
     }
-    let early = board.total(at(11_500), &service());
+    let early = table.total(at(11_500), &service());
     assert!((early.prefill - 2.0).abs() < 0.4, "{early:?}");
     assert!((early.held - 0.05).abs() < 0.02, "{early:?}");
 }
--- a/crates/core/tests/provision.rs
+++ b/crates/core/tests/provision.rs
@@ -1,4 +1,4 @@
-//! How many endpoints are ordered, and which stages.
+//! Planning of the number of endpoints and of the stages of engines.
 
 use std::collections::BTreeMap;
 
@@ -40,16 +40,16 @@
     }
 }
 
-/// Four engines in each of three failure domains, one in three of them prefilling.
+/// Four engines in each of three failure domains. One of the four prefills.
 fn fleet() -> Vec<EndpointRegistration> {
     let mut fleet = Vec::new();
     for name in ["a", "b", "c"] {
-        for place in 0..4 {
-            let stage = match place {
+        for index in 0..4 {
+            let stage = match index {
                 0 => EngineStage::Prefill,
                 _ => EngineStage::Decode,
             };
-            fleet.push(engine(&format!("{name}{place}"), name, stage));
+            fleet.push(engine(&format!("{name}{index}"), name, stage));
         }
     }
     fleet
@@ -115,8 +115,8 @@
     planner.steps(at(now), service, fleet.iter())
 }
 
-/// What is ordered after `demand` was seen for half a minute, with nothing ordered
-/// meanwhile.
+/// The orders after `demand` was observed for 30 s, with none of the earlier orders
+/// given.
 fn steps_after(
     planner: &mut ProvisionPlanner,
     fleet: &[EndpointRegistration],
@@ -128,7 +128,7 @@
     steps_for(planner, 32_000, fleet, demand)
 }
 
-/// Streams that run at `speed` on the engines of [`fleet`].
+/// Demand of streams that run at `speed` on the engines of [`fleet`].
 fn streams(speed: f64) -> EngineDemand {
     EngineDemand {
         prefill: 2.0,
@@ -148,7 +148,7 @@
     stages.collect()
 }
 
-fn settled() -> ProvisionPlanner {
+fn settled_planner() -> ProvisionPlanner {
     let mut planner = ProvisionPlanner::new();
     assert!(steps(&mut planner, 0, &fleet()).is_empty());
     planner
@@ -169,8 +169,9 @@
 
 #[test]
 fn nothing_is_ordered_while_endpoints_still_register() {
-    // All endpoints register within some seconds of the system's start. A planner
-    // that took the first of them for the whole fleet would order a tenth of it.
+    // All endpoints register within some seconds of the start of the system. A planner
+    // that took the first of them for the whole fleet would order a tenth of what is
+    // needed.
     let mut planner = ProvisionPlanner::new();
     let fleet = fleet();
     for count in 1..=fleet.len() {
@@ -181,30 +182,30 @@
 }
 
 #[test]
-fn preemptible_engines_are_ordered_beside_the_lasting_ones() {
-    let mut planner = settled();
+fn preemptible_engines_are_ordered_in_addition_to_reserved_ones() {
+    let mut planner = settled_planner();
     let steps = steps(&mut planner, 2_000, &fleet());
     let expected = ["a", "b", "c"].map(|name| (name.to_string(), true, 4));
     assert_eq!(counts(&steps), expected);
 }
 
 #[test]
-fn an_order_is_not_repeated_while_it_is_carried_out() {
-    let mut planner = settled();
+fn a_pending_order_is_not_repeated() {
+    let mut planner = settled_planner();
     let first = steps(&mut planner, 2_000, &fleet());
     for step in &first {
         planner.note_ordered(at(2_000), step);
     }
     assert!(counts(&steps(&mut planner, 5_000, &fleet())).is_empty());
-    // An order that was not heard has no effect, and comes up again.
+    // An order that was not received has no effect and is repeated.
     assert_eq!(counts(&steps(&mut planner, 9_000, &fleet())).len(), 3);
 }
 
 #[test]
-fn where_none_are_to_be_had_it_is_asked_again_later() {
-    // A whole failure domain of preemptible engines was withdrawn, and for some
-    // seconds there are no more. Asking all the time would only cost calls.
-    let mut planner = settled();
+fn unavailable_endpoints_are_ordered_again_later() {
+    // All preemptible engines of a failure domain were withdrawn, and for some seconds
+    // no more are available. Ordering all the time would only cost calls.
+    let mut planner = settled_planner();
     planner.note_unavailable(at(2_000), &service(), &domain("a"));
     let now = counts(&steps(&mut planner, 2_100, &fleet()));
     assert!(now.iter().all(|(name, ..)| name != "a"));
@@ -213,9 +214,9 @@
 }
 
 #[test]
-fn lost_lasting_engines_are_replaced() {
-    // Two engines of a failure domain are lost for good. What the planner saw first
-    // is what the failure domain is to have, also for a steward that comes later.
+fn lost_reserved_engines_are_replaced() {
+    // Two engines of a failure domain are lost permanently. The baseline is the number
+    // of engines that the failure domain should have, also for a later leader.
     let mut planner = ProvisionPlanner::new();
     for name in ["a", "b", "c"] {
         planner.set_baseline(DomainBaseline {
@@ -226,8 +227,8 @@
     }
     let mut fleet = fleet();
     for name in ["a", "b", "c"] {
-        for place in 4..8 {
-            let mut extra = engine(&format!("{name}{place}"), name, EngineStage::Prefill);
+        for index in 4..8 {
+            let mut extra = engine(&format!("{name}{index}"), name, EngineStage::Prefill);
             extra.is_preemptible = true;
             fleet.push(extra);
         }
@@ -241,12 +242,12 @@
 }
 
 #[test]
-fn as_many_engines_run_requests_as_their_streams_need() {
-    let mut planner = settled();
+fn the_number_of_decode_engines_follows_the_streams() {
+    let mut planner = settled_planner();
     let fleet = fleet();
     let steps = steps_after(&mut planner, &fleet, streams(0.75));
     let stages = stages(&steps);
-    // Three of four run requests now; two are to.
+    // Three of four engines run requests now; two should.
     assert_eq!(stages.len(), 3);
     assert!(
         stages
@@ -256,16 +257,18 @@
 }
 
 #[test]
-fn long_answers_get_more_engines_than_long_prompts_do() {
-    // A deployment's answers are long, and its streams run at a fifth of their speed on
-    // three engines of each failure domain. With a share that suits another deployment,
-    // callers would wait for each token while engines that prefill idle.
-    let mut planner = settled();
+fn long_answers_get_more_decode_engines_than_long_prompts() {
+    // The answers of a deployment are long, and its streams run at a fifth of their
+    // speed on three engines of each failure domain. With a fixed share that suits
+    // another deployment, callers would wait for each token while engines that prefill
+    // are idle.
+    let mut planner = settled_planner();
     let fleet = fleet();
     let crowded = steps_after(&mut planner, &fleet, streams(0.2));
     assert!(stages(&crowded).is_empty(), "{crowded:?}");
-    // Elsewhere the same engines are hardly used by the streams: one is enough.
-    let mut planner = settled();
+    // In another deployment, the streams hardly use the same engines: one engine is
+    // enough.
+    let mut planner = settled_planner();
     let idle = steps_after(&mut planner, &fleet, streams(0.95));
     assert!(stages(&idle).len() >= 4, "{idle:?}");
     let to_prefill = |(_, stage): &(String, EngineStage)| *stage == EngineStage::Prefill;
@@ -273,11 +276,11 @@
 }
 
 #[test]
-fn a_swing_of_the_mix_moves_no_engine() {
-    // The mix swings between long prompts and long answers every three seconds. Each
-    // change of stage takes an engine away for as long; one that followed the swing
-    // would always be ready for what has just passed.
-    let mut planner = settled();
+fn an_alternating_mix_changes_no_stage() {
+    // The mix alternates between long prompts and long answers every three seconds.
+    // Each change of a stage makes an engine unavailable for the same time; a plan that
+    // followed the mix would always match the previous phase.
+    let mut planner = settled_planner();
     let mut fleet = fleet();
     for name in ["a1", "b1", "c1"] {
         let engine = fleet.iter_mut().find(|engine| engine.id.as_str() == name);
@@ -297,24 +300,24 @@
 }
 
 #[test]
-fn few_engines_are_away_at_a_time() {
-    // A change of stage takes an engine away for seconds. If all that have to change
-    // did so together, nobody would run the requests meanwhile.
-    let mut planner = settled();
-    let wrong: Vec<EndpointRegistration> = fleet()
+fn few_engines_change_their_stage_at_the_same_time() {
+    // A change of a stage makes an engine unavailable for seconds. If all engines that
+    // have to change did so together, no engine would run requests in the meantime.
+    let mut planner = settled_planner();
+    let all_prefill: Vec<EndpointRegistration> = fleet()
         .into_iter()
         .map(|mut entry| {
             entry.stage = Some(EngineStage::Prefill);
             entry
         })
         .collect();
-    let first = steps(&mut planner, 2_000, &wrong);
+    let first = steps(&mut planner, 2_000, &all_prefill);
     let is_stage = |step: &&ProvisionStep| matches!(step, ProvisionStep::Stage { .. });
-    let given: Vec<&ProvisionStep> = first.iter().filter(is_stage).collect();
-    assert!(given.len() <= 5, "{given:?}");
-    for step in given {
+    let first_stages: Vec<&ProvisionStep> = first.iter().filter(is_stage).collect();
+    assert!(first_stages.len() <= 5, "{first_stages:?}");
+    for step in first_stages {
         planner.note_ordered(at(2_000), step);
     }
-    let next = steps(&mut planner, 2_300, &wrong);
+    let next = steps(&mut planner, 2_300, &all_prefill);
     assert!(first.iter().filter(is_stage).count() + next.iter().filter(is_stage).count() <= 6);
 }
--- a/crates/ingress/src/peers/talk.rs
+++ b/crates/ingress/src/peers/talk.rs
@@ -173,7 +173,7 @@
         let message = PeerMessage::without_loads()
             .with_stages(stages)
             .with_refusing(refusing)
-            .with_domain_demands(&self.context.demands.lock().direct(now));
+            .with_domain_demands(&self.context.demands.lock().directly_reported(now));
         self.send(now, message, None, &receivers).await;
     }
 
--- a/crates/ingress/tests/peer_scale.rs
+++ b/crates/ingress/tests/peer_scale.rs
@@ -90,7 +90,7 @@
             }
             sender.demands.prefill_sent(at(now), &service(), 80.0);
             let own = sender.demands.local(at(now));
-            let sum = sender.demands.direct(at(now));
+            let sum = sender.demands.directly_reported(at(now));
             let near = sender.choice.everyone(at(now), &sender.table);
             let speaks = sender
                 .table
