--- a/crates/core/src/attempts/answer.rs
+++ b/crates/core/src/attempts/answer.rs
@@ -60,7 +60,7 @@
     }
 
     /// Adds the token at `position` (from 0) of the answer.
-    pub fn token(
+    pub fn add_token(
         &mut self,
         request: &RequestId,
         attempt: u32,
@@ -82,7 +82,7 @@
     }
 
     /// Handles an end mark that states the number of tokens in the answer.
-    pub fn end(&mut self, request: &RequestId, attempt: u32, length: u64) -> EndVerdict {
+    pub fn add_end_mark(&mut self, request: &RequestId, attempt: u32, length: u64) -> EndVerdict {
         if *request != self.request || attempt != self.attempt || self.complete {
             return EndVerdict::Dropped;
         }
--- a/crates/core/src/routing/messages.rs
+++ b/crates/core/src/routing/messages.rs
@@ -16,7 +16,7 @@
 /// Length of the prompt prefix, in bytes, whose digest identifies a cached prefix.
 pub const PREFIX_BYTES: usize = 512;
 
-/// Digest of the first [`PREFIX_BYTES`] bytes of a prompt. Prompts with the same digest
+/// Digest of the first `PREFIX_BYTES` bytes of a prompt. Prompts with the same digest
 /// benefit from the same prefix cache of an engine.
 pub fn prefix_digest(prompt: &str) -> u64 {
     let bytes = prompt.as_bytes();
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -161,11 +161,11 @@
             };
             if item.1 > 240 {
                 let is_open = !answer.is_complete() && !is_foreign;
-                let verdict = answer.end(request, attempt, 4);
+                let verdict = answer.add_end_mark(request, attempt, 4);
                 assert_eq!(verdict == EndVerdict::Complete, is_open && next == 4);
                 continue;
             }
-            let verdict = answer.token(request, attempt, position, &text);
+            let verdict = answer.add_token(request, attempt, position, &text);
             assert_eq!(
                 verdict == TokenVerdict::Next,
                 answer.tokens().len() as u64 > next
--- a/crates/entry/src/model_run/items.rs
+++ b/crates/entry/src/model_run/items.rs
@@ -57,7 +57,7 @@
                 position,
                 text,
             } => {
-                let verdict = self.answer.token(&request, attempt, position, &text);
+                let verdict = self.answer.add_token(&request, attempt, position, &text);
                 match verdict {
                     TokenVerdict::Next => self.pass_on(text).await,
                     TokenVerdict::Dropped => self.context.metrics.dropped_items.inc(),
@@ -76,7 +76,7 @@
                 if finish == FinishReason::Cancelled {
                     return Err(broken("the engine cancelled the answer"));
                 }
-                match self.answer.end(&request, attempt, length) {
+                match self.answer.add_end_mark(&request, attempt, length) {
                     EndVerdict::Complete => Ok(Some(AnswerEnd {
                         finish,
                         prompt_tokens,
