--- a/crates/ingress/tests/peer_scale.rs
+++ b/crates/ingress/tests/peer_scale.rs
@@ -90,7 +90,7 @@
             }
             sender.demands.prefill_sent(at(now), &service(), 80.0);
             let local_demands = sender.demands.local(at(now));
-            let domain_demands = sender.demands.direct(at(now));
+            let domain_demands = sender.demands.directly_reported(at(now));
             let same_domain = sender.selector.broadcast_targets(at(now), &sender.table);
             let is_representative =
                 sender
