--- a/crates/core/src/directory/mod.rs
+++ b/crates/core/src/directory/mod.rs
@@ -46,8 +46,8 @@
     Leaving,
     /// The registration was removed.
     Gone,
-    /// The registration is missing after an outage of the store; the endpoint is kept for
-    /// [`LAPSE_GRACE`].
+    /// The registration is missing after an outage of the store; the endpoint is kept
+    /// until [`LAPSE_GRACE`] after the recovery.
     Lapsed,
     /// No change.
     Same,
@@ -56,7 +56,8 @@
 #[derive(Clone, Debug)]
 struct KnownEndpoint {
     registration: EndpointRegistration,
-    /// When it is removed unless it registers again; set if the registration lapsed.
+    /// When it is removed unless it registers again; `None` unless the registration
+    /// lapsed.
     expires_at: Option<ClockTime>,
 }
 
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -138,8 +138,8 @@
 type SentVersions = BTreeMap<MemberKey, (u64, u64)>;
 
 fn is_unsent(sent: &SentVersions, key: &MemberKey, item: &GossipItem) -> bool {
-    let stamp = (item.incarnation, item.version);
-    sent.get(key).is_none_or(|sent| *sent < stamp)
+    let version = (item.incarnation, item.version);
+    sent.get(key).is_none_or(|sent| *sent < version)
 }
 
 /// All items that an instance holds, and which of them it has sent over each connection.
@@ -149,7 +149,7 @@
     incarnation: u64,
     version: u64,
     items: BTreeMap<MemberKey, GossipItem>,
-    changes: [u64; KIND_COUNT],
+    change_counts: [u64; KIND_COUNT],
     links: BTreeMap<InstanceId, LinkState>,
 }
 
@@ -161,7 +161,7 @@
             incarnation,
             version: 0,
             items: BTreeMap::new(),
-            changes: [0; KIND_COUNT],
+            change_counts: [0; KIND_COUNT],
             links: BTreeMap::new(),
         }
     }
@@ -221,16 +221,16 @@
     }
 
     fn put(&mut self, key: MemberKey, item: GossipItem) {
-        self.changes[key.1.kind() as usize] += 1;
+        self.change_counts[key.1.kind() as usize] += 1;
         self.items.insert(key, item);
     }
 
     /// Merges an item received over `link`; returns whether it was newer than the held one.
     pub fn merge(&mut self, link: &InstanceId, item: &GossipItem) -> bool {
         let key = (item.member.clone(), ItemKey::new(&item.body));
-        let stamp = (item.incarnation, item.version);
+        let version = (item.incarnation, item.version);
         let link_state = self.links.entry(link.clone()).or_default();
-        link_state.sent.insert(key.clone(), stamp);
+        link_state.sent.insert(key.clone(), version);
         let newest = self
             .member_items(&item.member)
             .map(|item| item.incarnation)
@@ -241,7 +241,7 @@
             _ => {}
         }
         let known = self.items.get(&key);
-        if known.is_some_and(|known| (known.incarnation, known.version) >= stamp) {
+        if known.is_some_and(|known| (known.incarnation, known.version) >= version) {
             return false;
         }
         self.put(key, item.clone());
@@ -279,8 +279,8 @@
                 break;
             }
             remaining = remaining.saturating_sub(bytes);
-            let stamp = (item.incarnation, item.version);
-            link_state.sent.insert(key.clone(), stamp);
+            let version = (item.incarnation, item.version);
+            link_state.sent.insert(key.clone(), version);
             link_state.queues.pop(queue, true);
             chosen.push(item.clone());
         }
@@ -295,7 +295,7 @@
             let item = self.items.get(key);
             item.is_some_and(|item| is_unsent(sent, key, item))
         };
-        let fillable = queues.fillable(self.changes, is_unsent);
+        let fillable = queues.fillable(self.change_counts, is_unsent);
         if fillable.iter().all(|fillable| !fillable) {
             return;
         }
@@ -337,7 +337,7 @@
             .map(|(_, item)| item)
     }
 
-    /// The presence of `member`, if it was received.
+    /// The presence of `member`, if known.
     pub fn presence(&self, member: &InstanceId) -> Option<&MemberPresence> {
         match &self.items.get(&(member.clone(), ItemKey::Presence))?.body {
             GossipBody::Presence(presence) => Some(presence),
@@ -345,7 +345,7 @@
         }
     }
 
-    /// The offset of the next log entry that `member` will apply, if it was received.
+    /// The offset of the next log entry that `member` will apply, if known.
     pub fn progress(&self, member: &InstanceId) -> Option<LogOffset> {
         match &self.items.get(&(member.clone(), ItemKey::Progress))?.body {
             GossipBody::Progress(next) => Some(*next),
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -33,7 +33,7 @@
     listed_at: Option<ClockTime>,
     last_heartbeat: Option<ClockTime>,
     relayed_at: Option<ClockTime>,
-    /// When a direct connection was first planned.
+    /// Since when a direct connection has been planned.
     planned_at: Option<ClockTime>,
 }
 
