--- a/crates/core/src/provision/mod.rs
+++ b/crates/core/src/provision/mod.rs
@@ -130,8 +130,8 @@
 
 impl DomainTarget {
     fn new(scaling: &ScalingRule, baseline: u32) -> DomainTarget {
-        let reserved =
-            ((f64::from(baseline) * RESERVED_SHARE).ceil() as u32).max(scaling.min_endpoints.min(1));
+        let reserved = ((f64::from(baseline) * RESERVED_SHARE).ceil() as u32)
+            .max(scaling.min_endpoints.min(1));
         let headroom = scaling.max_endpoints.saturating_sub(reserved);
         let preemptible = match scaling.preemptible_price {
             Some(_) => ((f64::from(baseline) * PREEMPTIBLE_FACTOR).ceil() as u32).min(headroom),
