--- a/crates/controller/src/context.rs
+++ b/crates/controller/src/context.rs
@@ -3,7 +3,7 @@
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
     ids::{EndpointId, LogOffset},
-    orders::OrderRule,
+    orders::OrderTiming,
     records::{DutyName, LogRecord},
 };
 use bluebell_daemon::{
@@ -59,12 +59,12 @@
     }
 
     /// How long orders and leases take.
-    pub fn order_rule(&self) -> OrderRule {
+    pub fn order_rule(&self) -> OrderTiming {
         let (orders, lease) = (&self.settings.orders, &self.settings.lease);
-        OrderRule {
+        OrderTiming {
             timeout: orders.timeout,
-            pause: orders.interval,
-            quiet: lease.duration + orders.timeout + lease.margin,
+            retry_pause: orders.interval,
+            takeover_delay: lease.duration + orders.timeout + lease.margin,
         }
     }
 
--- a/crates/controller/src/engines.rs
+++ b/crates/controller/src/engines.rs
@@ -4,8 +4,8 @@
 
 use bluebell_core::{
     clock::ClockTime,
+    draining::DrainTiming,
     ids::{EndpointId, LogOffset, OrderId},
-    marks::DrainRule,
     orders::{ChangeRun, OrderRun},
     records::{DutyName, OrderBody},
 };
@@ -153,10 +153,10 @@
 }
 
 /// How long draining waits.
-pub fn drain_rule(context: &DutyContext) -> DrainRule {
-    DrainRule {
-        bound: context.settings.orders.drain_bound,
-        settle: context.settings.orders.drain_settle,
+pub fn drain_rule(context: &DutyContext) -> DrainTiming {
+    DrainTiming {
+        unreachable_timeout: context.settings.orders.drain_bound,
+        transit_time: context.settings.orders.drain_settle,
     }
 }
 
--- a/crates/controller/src/fleet_plan.rs
+++ b/crates/controller/src/fleet_plan.rs
@@ -139,7 +139,7 @@
 fn stage(context: &DutyContext, listing: &EndpointListing) -> EndpointStage {
     let stopping = context.node.with_view(|view| {
         let fleet_mark = view
-            .marks
+            .drain_marks
             .mark(&listing.endpoint)
             .is_some_and(|mark| mark.duty == DutyName::Fleet);
         fleet_mark || view.orders.was_stopped(&listing.endpoint)
--- a/crates/controller/src/marks.rs
+++ b/crates/controller/src/marks.rs
@@ -2,7 +2,7 @@
 
 use bluebell_core::{
     ids::EndpointId,
-    records::{DutyName, EndpointMark, LogRecord, MarkState},
+    records::{DrainMarkRecord, DutyName, LogRecord, MarkState},
 };
 use bluebell_platform::api::{EndpointListing, EndpointState};
 
@@ -15,9 +15,9 @@
         |listing: &EndpointListing| matches!(listing.state, EndpointState::Reclaimed { .. });
     let listings = context.directory.listings();
     let unmarked: Vec<EndpointId> = context.node.with_view(|view| {
-        let wanted = listings
-            .iter()
-            .filter(|listing| reclaimed(listing) && !view.marks.is_leaving(&listing.endpoint));
+        let wanted = listings.iter().filter(|listing| {
+            reclaimed(listing) && !view.drain_marks.is_draining(&listing.endpoint)
+        });
         wanted.map(|listing| listing.endpoint.clone()).collect()
     });
     let marks = unmarked.iter().map(|endpoint| async move {
@@ -36,7 +36,7 @@
 /// those that were stopped until the platform no longer lists them.
 pub async fn clear_orphans(context: &DutyContext, duty: &DutyName, planned: &[&EndpointId]) {
     let marked: Vec<EndpointId> = context.node.with_view(|view| {
-        let own = view.marks.marks().filter(|(endpoint, mark)| {
+        let own = view.drain_marks.iter().filter(|(endpoint, mark)| {
             mark.duty == *duty
                 && !planned.contains(endpoint)
                 && view.orders.open_at(endpoint).is_none()
@@ -69,7 +69,7 @@
     let Some(grant) = context.desk.grant(duty) else {
         return false;
     };
-    let mark = EndpointMark {
+    let mark = DrainMarkRecord {
         endpoint: endpoint.clone(),
         state,
         duty: duty.clone(),
--- a/crates/controller/src/members.rs
+++ b/crates/controller/src/members.rs
@@ -3,8 +3,8 @@
 use bluebell_core::{
     authority::DutyCandidate,
     clock::ClockTime,
+    draining::EntryProgress,
     ids::{EndpointId, FailureDomain},
-    marks::EntryProgress,
     membership::{InstanceProgram, InstanceState, PeerStatus},
     records::DutyName,
 };
@@ -91,7 +91,7 @@
         let mut domains: Vec<FailureDomain> = self.node.with_view(|view| {
             let leases = view.leases.leases().map(|(duty, _)| duty);
             let orders = view.orders.open_orders().map(|(_, open)| &open.duty);
-            let marks = view.marks.marks().map(|(_, mark)| &mark.duty);
+            let marks = view.drain_marks.iter().map(|(_, mark)| &mark.duty);
             let duties = leases.chain(orders).chain(marks);
             duties
                 .filter_map(|duty| match duty {
--- a/crates/controller/src/receivers.rs
+++ b/crates/controller/src/receivers.rs
@@ -3,7 +3,7 @@
 use bluebell_core::{
     clock::ClockTime,
     ids::{EndpointId, LogOffset, OrderId},
-    orders::{EffectView, EngineView, SendAnswer},
+    orders::{EngineView, ObservedEffect, SendAnswer},
     records::{OrderBody, UsageWindow},
 };
 use bluebell_daemon::logs::LogLine;
@@ -129,7 +129,7 @@
 }
 
 /// Looks at what can be seen of the effect of `body`.
-pub async fn observe(context: &DutyContext, body: &OrderBody) -> EffectView {
+pub async fn observe(context: &DutyContext, body: &OrderBody) -> ObservedEffect {
     match body {
         OrderBody::SetRole { endpoint, .. } | OrderBody::LoadModel { endpoint, .. } => {
             observe_engine(context, endpoint).await
@@ -141,7 +141,7 @@
         }
         // The list does not say which order an endpoint came from. The platform
         // takes a second sending under the same id as a repeat.
-        OrderBody::StartEndpoint { .. } => EffectView::Absent,
+        OrderBody::StartEndpoint { .. } => ObservedEffect::Absent,
         OrderBody::ReportUsage { window } => observe_report(context, *window).await,
     }
 }
@@ -150,30 +150,30 @@
     context: &DutyContext,
     endpoint: &EndpointId,
     asked_at: ClockTime,
-) -> EffectView {
+) -> ObservedEffect {
     if context.directory.asked_at().is_none_or(|at| at < asked_at) {
-        return EffectView::Unreachable;
+        return ObservedEffect::Unreachable;
     }
     let listing = context.directory.listing(endpoint);
     match listing.is_none_or(|listing| listing.state == EndpointState::Gone) {
-        true => EffectView::Gone,
-        false => EffectView::Absent,
+        true => ObservedEffect::Removed,
+        false => ObservedEffect::Absent,
     }
 }
 
-async fn observe_engine(context: &DutyContext, endpoint: &EndpointId) -> EffectView {
+async fn observe_engine(context: &DutyContext, endpoint: &EndpointId) -> ObservedEffect {
     let Some(listing) = context.directory.listing(endpoint) else {
         return match context.directory.asked_at() {
-            Some(_) => EffectView::Gone,
-            None => EffectView::Unreachable,
+            Some(_) => ObservedEffect::Removed,
+            None => ObservedEffect::Unreachable,
         };
     };
     if listing.state == EndpointState::Gone {
-        return EffectView::Gone;
+        return ObservedEffect::Removed;
     }
     match context.engines.status(&listing.address).await {
-        Ok(status) => EffectView::Engine(engine_view(status)),
-        Err(_) => EffectView::Unreachable,
+        Ok(status) => ObservedEffect::Engine(engine_view(status)),
+        Err(_) => ObservedEffect::Unreachable,
     }
 }
 
@@ -187,12 +187,12 @@
     }
 }
 
-async fn observe_report(context: &DutyContext, window: UsageWindow) -> EffectView {
+async fn observe_report(context: &DutyContext, window: UsageWindow) -> ObservedEffect {
     let Ok(reports) = context.node.platform().usage_reports().await else {
-        return EffectView::Unreachable;
+        return ObservedEffect::Unreachable;
     };
     let Some(report) = reports.iter().find(|report| report.window == window) else {
-        return EffectView::Absent;
+        return ObservedEffect::Absent;
     };
     let same = context
         .node
@@ -202,7 +202,7 @@
             .with("window", window)
             .with("reporter", &report.reporter)
             .warn();
-        return EffectView::Conflicting;
+        return ObservedEffect::Conflicting;
     }
-    EffectView::Done
+    ObservedEffect::Done
 }
--- a/crates/controller/src/role_plan.rs
+++ b/crates/controller/src/role_plan.rs
@@ -9,7 +9,7 @@
     clock::ClockTime,
     ids::{EndpointId, FailureDomain, ModelName},
     records::{EngineRole, OrderBody},
-    roles::{PlannedRole, RoleEngine, RoleInputs, RolePlanner},
+    roles::{PlannedRoleChange, RoleEngine, RoleInputs, RolePlanner},
     routing::RoutePool,
 };
 use bluebell_endpoint::api::EngineStatus;
@@ -67,7 +67,7 @@
             let listing = context.directory.listing(&planned.endpoint);
             listing.is_some_and(|listing| listing.failure_domain == *domain)
         });
-        if let Some(PlannedRole {
+        if let Some(PlannedRoleChange {
             endpoint,
             to,
             reason,
@@ -110,7 +110,7 @@
     let (ordered, leaving) = context.node.with_view(|view| {
         let open = view.orders.open_at(endpoint);
         let ordered = open.map(|(_, open)| open.body.clone());
-        (ordered, view.marks.is_leaving(endpoint))
+        (ordered, view.drain_marks.is_draining(endpoint))
     });
     let role = match &ordered {
         Some(OrderBody::SetRole { role, .. }) => *role,
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -234,7 +234,7 @@
             "more than `0ms`",
         );
         check(
-            self.orders.timeout.times(2) > lease.duration.less(lease.renew_after),
+            self.orders.timeout.times(2) > lease.duration.saturating_sub(lease.renew_after),
             "orders.timeout",
             self.orders.timeout,
             "at most half of `lease.duration` less `lease.renew_after`",
--- a/crates/controller/src/steps.rs
+++ b/crates/controller/src/steps.rs
@@ -1,7 +1,7 @@
 //! Carrying out the steps of orders and changes.
 
 use bluebell_core::{
-    marks::DrainState,
+    draining::DrainState,
     orders::{ChangeRun, ChangeStep, OrderRun, OrderStep},
     records::{DutyName, LogRecord, OrderBody, OrderOutcome, OutcomeRecord},
 };
@@ -44,9 +44,9 @@
     for _ in 0..STEP_LIMIT {
         let grant = context.desk.grant(duty);
         let now = context.now();
-        let step = context
-            .node
-            .with_view(|view| change.next_step(now, grant.as_ref(), &view.marks, &view.orders));
+        let step = context.node.with_view(|view| {
+            change.next_step(now, grant.as_ref(), &view.drain_marks, &view.orders)
+        });
         match change_step(context, duty, change, step).await {
             StepResult::Again => {}
             StepResult::Pause => return false,
@@ -72,7 +72,7 @@
                 None => StepResult::Pause,
             }
         }
-        ChangeStep::AskAround => ask_around(context, change).await,
+        ChangeStep::PollProgress => ask_around(context, change).await,
         ChangeStep::Order(step) => order_step(context, duty, change.run_mut(), step).await,
         ChangeStep::Wait(_) => StepResult::Pause,
         ChangeStep::Stop(_) => StepResult::Ended,
@@ -81,9 +81,9 @@
 
 async fn ask_around(context: &DutyContext, change: &mut ChangeRun) -> StepResult {
     let now = context.now();
-    change.hear_entries(now, &context.list.entries());
+    change.note_entries(now, &context.list.entries());
     if let Some(work) = context.outstanding(change.endpoint()).await {
-        change.hear_endpoint(work.heard_at, work.requests);
+        change.note_endpoint(work.heard_at, work.requests);
     }
     match change.drain_state() {
         Some(DrainState::Empty) => StepResult::Again,
@@ -103,12 +103,12 @@
             if intended.is_none() {
                 return StepResult::Pause;
             }
-            run.intended();
+            run.note_intent();
             StepResult::Again
         }
         OrderStep::Observe => {
             let view = receivers::observe(context, run.body()).await;
-            run.observed(context.now(), &view);
+            run.note_observation(context.now(), &view);
             StepResult::Again
         }
         OrderStep::Send => send(context, duty, run).await,
@@ -128,7 +128,7 @@
         return StepResult::Pause;
     };
     let answer = receivers::send(context, run.order(), grant.fence, run.body()).await;
-    run.answered(context.now(), answer);
+    run.note_answer(context.now(), answer);
     let subjects = order_subjects(run);
     let reason = format!("its intent stands in the log under fence {}", grant.fence);
     context.decide(duty, &subjects, &format!("order sent: {answer:?}"), &reason);
--- a/crates/controller/tests/controller/changes.rs
+++ b/crates/controller/tests/controller/changes.rs
@@ -85,7 +85,7 @@
     loaded.await.expect("it does");
     stage
         .until_view("the engine gets work again", |view| {
-            view.marks.marks().count() == 0 && view.orders.open_orders().count() == 0
+            view.drain_marks.iter().count() == 0 && view.orders.open_orders().count() == 0
         })
         .await;
 }
@@ -129,7 +129,7 @@
     let controller = stage.controller("c1").await;
     stage
         .until_view("the engine is marked", |view| {
-            view.marks.marks().count() == 1
+            view.drain_marks.iter().count() == 1
         })
         .await;
     let status: EngineStatus = control::get(&address, "/state").await.expect("it tells");
@@ -218,7 +218,7 @@
         .until_view("both are marked", |view| {
             let leaving = |name: &str| {
                 let endpoint = EndpointId::new(name).expect("the name is valid");
-                view.marks.is_leaving(&endpoint)
+                view.drain_marks.is_draining(&endpoint)
             };
             leaving("cheap-1") && leaving("cheap-2")
         })
@@ -390,14 +390,14 @@
     let entry = stage.list_entry(told.clone()).await;
     let controller = stage
         .controller_with("c1", |settings| {
-            settings.fleet.planner.least_life = TimeSpan::ZERO;
+            settings.fleet.planner.min_lifetime = TimeSpan::ZERO;
             settings.fleet.every = TimeSpan::from_millis(100);
             settings.roles.enabled = false;
         })
         .await;
     stage
         .until_view("one engine is marked", |view| {
-            view.marks.marks().count() == 1
+            view.drain_marks.iter().count() == 1
         })
         .await;
     let much = TokenDemand {
@@ -407,7 +407,7 @@
     told.lock().expect("no holder panics").short = much;
     stage
         .until_view("no engine is marked", |view| {
-            view.marks.marks().count() == 0
+            view.drain_marks.iter().count() == 0
         })
         .await;
     assert_eq!(stage.history().await.orders, []);
@@ -437,14 +437,14 @@
     let entry = stage.list_entry(demand(TokenDemand::default())).await;
     let controller = stage
         .controller_with("c1", |settings| {
-            settings.fleet.planner.least_life = TimeSpan::ZERO;
+            settings.fleet.planner.min_lifetime = TimeSpan::ZERO;
             settings.fleet.every = TimeSpan::from_millis(100);
         })
         .await;
     let stopped = wait::until("an engine is stopped and forgotten", || async {
         let orders = stage.history().await.orders;
         let view = stage.view().await;
-        let done = view.orders.open_orders().count() == 0 && view.marks.marks().count() == 0;
+        let done = view.orders.open_orders().count() == 0 && view.drain_marks.iter().count() == 0;
         (done && !orders.is_empty()).then_some(orders)
     });
     let effects = stopped.await.expect("it is");
--- a/crates/core/src/admission/queue/refusals.rs
+++ b/crates/core/src/admission/queue/refusals.rs
@@ -45,7 +45,7 @@
         let allowed = latest_start.since(now);
         if now > latest_start || wait > allowed {
             let reason = RefuseReason::DeadlineUnreachable { wait, allowed };
-            return Err((reason, wait.less(allowed)));
+            return Err((reason, wait.saturating_sub(allowed)));
         }
         let cost = self.expected_cost(admission);
         Ok(TrackedRequest {
@@ -99,7 +99,7 @@
             return;
         }
         let reason = RefuseReason::DeadlineUnreachable { wait, allowed };
-        let refusal = self.refusal(request.clone(), reason, wait.less(allowed));
+        let refusal = self.refusal(request.clone(), reason, wait.saturating_sub(allowed));
         actions.push(refusal);
     }
 
--- a/crates/core/src/claims/mod.rs
+++ b/crates/core/src/claims/mod.rs
@@ -10,7 +10,7 @@
 //! after it sent, and nobody can tell which. Repeats get "unknown" for as long
 //! as the claim is kept. Only a settlement that says "not run" frees the key.
 //!
-//! An organisation's last [`CLAIMS_KEPT`] claims are kept, by their place in the
+//! An organisation's last [`MAX_CLAIMS_PER_ORGANISATION`] claims are kept, by their place in the
 //! log and not by time: log entries carry no time that all readers agree on. A
 //! key that is sent again after so many newer ones is taken for a new one.
 
@@ -28,11 +28,11 @@
 };
 
 /// How many claims of one organisation are kept.
-pub const CLAIMS_KEPT: usize = 4_096;
+pub const MAX_CLAIMS_PER_ORGANISATION: usize = 4_096;
 
 /// A claim that stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct StandingClaim {
+pub struct ActiveClaim {
     /// The claim.
     pub claim: IdempotencyClaim,
     /// Where it stands.
@@ -58,18 +58,18 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 struct OrganisationClaims {
-    claims: BTreeMap<IdempotencyKey, StandingClaim>,
+    claims: BTreeMap<IdempotencyKey, ActiveClaim>,
     by_age: BTreeSet<(LogOffset, IdempotencyKey)>,
 }
 
 impl OrganisationClaims {
-    fn put(&mut self, standing: StandingClaim) {
+    fn put(&mut self, standing: ActiveClaim) {
         let key = standing.claim.key.clone();
         self.by_age.insert((standing.offset, key.clone()));
         if let Some(before) = self.claims.insert(key.clone(), standing) {
             self.by_age.remove(&(before.offset, key));
         }
-        while self.claims.len() > CLAIMS_KEPT {
+        while self.claims.len() > MAX_CLAIMS_PER_ORGANISATION {
             let Some((_, oldest)) = self.by_age.pop_first() else {
                 return;
             };
@@ -97,7 +97,7 @@
                 continue;
             }
             let organisation = self.organisations.entry(claim.organisation.clone());
-            organisation.or_default().put(StandingClaim {
+            organisation.or_default().put(ActiveClaim {
                 claim: claim.clone(),
                 offset,
                 result: None,
@@ -130,7 +130,7 @@
         &self,
         organisation: &OrganisationId,
         key: &IdempotencyKey,
-    ) -> Option<&StandingClaim> {
+    ) -> Option<&ActiveClaim> {
         self.organisations.get(organisation)?.claims.get(key)
     }
 
@@ -192,7 +192,7 @@
             return;
         }
         let organisation = self.organisations.entry(claim.organisation.clone());
-        organisation.or_default().put(StandingClaim {
+        organisation.or_default().put(ActiveClaim {
             claim: claim.clone(),
             offset: *offset,
             result: settlement.as_ref().map(|settled| settled.result.clone()),
@@ -200,7 +200,7 @@
     }
 }
 
-fn may_settle(standing: &StandingClaim, settlement: &ClaimSettlement) -> bool {
+fn may_settle(standing: &ActiveClaim, settlement: &ClaimSettlement) -> bool {
     match standing.result {
         None => true,
         Some(SettledResult::Unknown) => {
@@ -210,7 +210,7 @@
     }
 }
 
-fn checkpoint_item(standing: &StandingClaim) -> CheckpointItem {
+fn checkpoint_item(standing: &ActiveClaim) -> CheckpointItem {
     let claim = standing.claim.clone();
     let settlement = standing.result.clone().map(|result| ClaimSettlement {
         organisation: claim.organisation.clone(),
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -97,7 +97,7 @@
     }
 
     /// This span less `other`, or zero.
-    pub const fn less(self, other: TimeSpan) -> TimeSpan {
+    pub const fn saturating_sub(self, other: TimeSpan) -> TimeSpan {
         TimeSpan(self.0.saturating_sub(other.0))
     }
 
--- a/crates/core/src/marks/mod.rs
+++ b/crates/core/src/draining/mod.rs
@@ -4,21 +4,21 @@
 //! while one duty's mark stands no other duty can change it: so the fleet never
 //! stops an engine whose role the engines' duty is about to change.
 
-mod drain;
+mod progress;
 
 use std::collections::BTreeMap;
 
-pub use self::drain::{DrainProgress, DrainRule, DrainState, EntryProgress};
+pub use self::progress::{DrainProgress, DrainState, DrainTiming, EntryProgress};
 use crate::{
     authority::LeaseState,
     clock::ClockTime,
     ids::{EndpointId, LogOffset},
-    records::{CheckpointItem, DutyName, EndpointMark, MarkState},
+    records::{CheckpointItem, DrainMarkRecord, DutyName, MarkState},
 };
 
 /// A leaving endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
-pub struct LeavingMark {
+pub struct DrainMark {
     /// The duty that set the mark.
     pub duty: DutyName,
     /// The fencing number under which it was set.
@@ -32,28 +32,28 @@
 
 /// The endpoints that are leaving.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub struct LeavingMarks {
-    marks: BTreeMap<EndpointId, LeavingMark>,
+pub struct DrainMarks {
+    marks: BTreeMap<EndpointId, DrainMark>,
 }
 
-impl LeavingMarks {
+impl DrainMarks {
     /// Nothing read yet.
-    pub fn new() -> LeavingMarks {
-        LeavingMarks::default()
+    pub fn new() -> DrainMarks {
+        DrainMarks::default()
     }
 
     /// The endpoint's mark, if it is leaving.
-    pub fn mark(&self, endpoint: &EndpointId) -> Option<&LeavingMark> {
+    pub fn mark(&self, endpoint: &EndpointId) -> Option<&DrainMark> {
         self.marks.get(endpoint)
     }
 
     /// Whether the endpoint gets no new work.
-    pub fn is_leaving(&self, endpoint: &EndpointId) -> bool {
+    pub fn is_draining(&self, endpoint: &EndpointId) -> bool {
         self.marks.contains_key(endpoint)
     }
 
     /// All marks.
-    pub fn marks(&self) -> impl Iterator<Item = (&EndpointId, &LeavingMark)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&EndpointId, &DrainMark)> {
         self.marks.iter()
     }
 
@@ -63,7 +63,7 @@
         &mut self,
         now: ClockTime,
         offset: LogOffset,
-        record: &EndpointMark,
+        record: &DrainMarkRecord,
         leases: &LeaseState,
     ) {
         if !leases.is_current(&record.duty, record.fence) {
@@ -80,7 +80,7 @@
                 self.marks.remove(&record.endpoint);
             }
             MarkState::Leaving => {
-                let mark = LeavingMark {
+                let mark = DrainMark {
                     duty: record.duty.clone(),
                     fence: record.fence,
                     offset,
@@ -93,8 +93,8 @@
 
     /// The marks as items of a checkpoint.
     pub fn checkpoint(&self) -> Vec<CheckpointItem> {
-        let item = |(endpoint, mark): (&EndpointId, &LeavingMark)| CheckpointItem::Mark {
-            mark: EndpointMark {
+        let item = |(endpoint, mark): (&EndpointId, &DrainMark)| CheckpointItem::Mark {
+            mark: DrainMarkRecord {
                 endpoint: endpoint.clone(),
                 state: MarkState::Leaving,
                 duty: mark.duty.clone(),
@@ -110,7 +110,7 @@
         let CheckpointItem::Mark { mark, offset } = item else {
             return;
         };
-        let restored = LeavingMark {
+        let restored = DrainMark {
             duty: mark.duty.clone(),
             fence: mark.fence,
             offset: *offset,
--- a/crates/core/src/marks/drain.rs
+++ b/crates/core/src/draining/progress.rs
@@ -21,23 +21,25 @@
 
 /// How long draining waits for what it can't see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DrainRule {
+pub struct DrainTiming {
     /// How long an entry that can't be reached is waited for. It is at least the
     /// time after which an entry that hears nothing of the log takes endpoints
     /// for leaving by their listing alone.
-    pub bound: TimeSpan,
+    pub unreachable_timeout: TimeSpan,
     /// How long a request may be on its way that an entry sent just before it
     /// read the mark.
-    pub settle: TimeSpan,
+    pub transit_time: TimeSpan,
 }
 
 /// Where draining stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 pub enum DrainState {
     /// Entries may still choose the endpoint.
-    Telling,
+    #[serde(rename = "Telling")]
+    AwaitingEntries,
     /// No entry chooses it any more; work may still be in flight there.
-    Emptying,
+    #[serde(rename = "Emptying")]
+    AwaitingCompletion,
     /// It was seen empty after the last entry had been told.
     Empty,
 }
@@ -74,24 +76,24 @@
     /// waited for without limit, because it is alive and may send work; one that
     /// can't be reached only up to the bound, because its last word may be that
     /// it was killed.
-    pub fn hear_entries(&mut self, now: ClockTime, entries: &[EntryProgress], rule: &DrainRule) {
+    pub fn note_entries(&mut self, now: ClockTime, entries: &[EntryProgress], rule: &DrainTiming) {
         if self.told_at.is_some() {
             return;
         }
-        let bound_passed = now >= self.marked_at + rule.bound;
+        let bound_passed = now >= self.marked_at + rule.unreachable_timeout;
         let told = |entry: &EntryProgress| match entry.next {
             Some(next) => next > self.mark,
             None => bound_passed,
         };
         if entries.iter().all(told) {
-            self.told_at = Some(now + rule.settle);
+            self.told_at = Some(now + rule.transit_time);
         }
     }
 
     /// Takes what the endpoint said of its work in flight in answer to a question
     /// asked at `asked_at`. Only an answer to a question asked after all entries
     /// had been told counts; a busy answer takes an earlier empty one back.
-    pub fn hear_endpoint(&mut self, asked_at: ClockTime, in_flight: u64) {
+    pub fn note_endpoint(&mut self, asked_at: ClockTime, in_flight: u64) {
         let told = self.told_at.is_some_and(|told_at| asked_at >= told_at);
         self.empty = told && in_flight == 0;
     }
@@ -99,8 +101,8 @@
     /// Where it stands.
     pub fn state(&self) -> DrainState {
         match (self.told_at, self.empty) {
-            (None, _) => DrainState::Telling,
-            (Some(_), false) => DrainState::Emptying,
+            (None, _) => DrainState::AwaitingEntries,
+            (Some(_), false) => DrainState::AwaitingCompletion,
             (Some(_), true) => DrainState::Empty,
         }
     }
--- a/crates/core/src/fleet/messages.rs
+++ b/crates/core/src/fleet/messages.rs
@@ -26,14 +26,18 @@
     /// What a preemptible endpoint costs, in percent of a reserved one.
     pub preemptible_price: u64,
     /// Reserved endpoints of each service in each failure domain, at least.
-    pub least_reserved: u64,
+    #[serde(rename = "least_reserved")]
+    pub min_reserved: u64,
     /// Endpoints that may fetch weights at the same time.
-    pub starts_at_once: u64,
+    #[serde(rename = "starts_at_once")]
+    pub max_concurrent_starts: u64,
     /// How long an endpoint runs at least before it is stopped.
-    pub least_life: TimeSpan,
+    #[serde(rename = "least_life")]
+    pub min_lifetime: TimeSpan,
     /// For how long the cheaper kind isn't asked for in a failure domain where
     /// it was not to be had or was reclaimed.
-    pub unavailable_for: TimeSpan,
+    #[serde(rename = "unavailable_for")]
+    pub unavailable_retry_after: TimeSpan,
 }
 
 impl Default for FleetSettings {
@@ -43,10 +47,10 @@
             deferrable_utilisation: 95,
             loss_utilisation: 95,
             preemptible_price: 35,
-            least_reserved: 1,
-            starts_at_once: 3,
-            least_life: TimeSpan::from_secs(300),
-            unavailable_for: TimeSpan::from_secs(180),
+            min_reserved: 1,
+            max_concurrent_starts: 3,
+            min_lifetime: TimeSpan::from_secs(300),
+            unavailable_retry_after: TimeSpan::from_secs(180),
         }
     }
 }
--- a/crates/core/src/fleet/planner.rs
+++ b/crates/core/src/fleet/planner.rs
@@ -80,7 +80,7 @@
             .iter()
             .filter(|endpoint| endpoint.stage == EndpointStage::Starting)
             .count() as u64;
-        let mut starts = self.settings.starts_at_once.saturating_sub(starting);
+        let mut starts = self.settings.max_concurrent_starts.saturating_sub(starting);
         let mut changes = Vec::new();
         for need in &inputs.needs {
             let planned = self.plan_service(now, inputs, need, &mut starts);
@@ -100,7 +100,7 @@
     fn cheap_domains(&self, now: ClockTime, inputs: &FleetInputs) -> Vec<FailureDomain> {
         let available = |domain: &&FailureDomain| {
             let lost = inputs.preemptible_lost.get(*domain);
-            lost.is_none_or(|at| now.since(*at) >= self.settings.unavailable_for)
+            lost.is_none_or(|at| now.since(*at) >= self.settings.unavailable_retry_after)
         };
         inputs
             .failure_domains
@@ -206,7 +206,7 @@
             domain.push(endpoint);
         }
         let fullest = by_domain.values().max_by_key(|endpoints| endpoints.len())?;
-        let old_enough = |e: &&&FleetEndpoint| now.since(e.since) >= self.settings.least_life;
+        let old_enough = |e: &&&FleetEndpoint| now.since(e.since) >= self.settings.min_lifetime;
         let endpoint = fullest.iter().filter(old_enough).max_by_key(|e| e.since)?;
         Some(PlannedChange::Stop {
             endpoint: endpoint.endpoint.clone(),
--- a/crates/core/src/fleet/sizing.rs
+++ b/crates/core/src/fleet/sizing.rs
@@ -85,7 +85,7 @@
     cheap_domains: u64,
     settings: &FleetSettings,
 ) -> FleetSize {
-    let least = settings.least_reserved * domains;
+    let least = settings.min_reserved * domains;
     let urgent = endpoints_for(demand.urgent().count(), settings.utilisation);
     let deferrable = endpoints_for(demand.deferrable.count(), settings.deferrable_utilisation);
     let most = least.max(urgent + deferrable);
--- a/crates/core/src/leadership/mod.rs
+++ b/crates/core/src/leadership/mod.rs
@@ -152,7 +152,7 @@
         let silence = self.last.as_ref().map(|last| now.since(last.read_at));
         let slack = TimeSpan::from_millis(10);
         silence.map_or(TimeSpan::ZERO, |silence| {
-            self.takeover_timeout().less(silence) + slack
+            self.takeover_timeout().saturating_sub(silence) + slack
         })
     }
 
--- a/crates/core/src/orders/change.rs
+++ b/crates/core/src/orders/change.rs
@@ -5,18 +5,18 @@
 use crate::{
     authority::DutyGrant,
     clock::ClockTime,
+    draining::{DrainMarks, DrainProgress, DrainState, DrainTiming, EntryProgress},
     ids::EndpointId,
-    marks::{DrainProgress, DrainRule, DrainState, EntryProgress, LeavingMarks},
-    records::{EndpointMark, MarkState, OrderBody},
+    records::{DrainMarkRecord, MarkState, OrderBody},
 };
 
 /// What the holder of the duty has to do next for a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeStep {
     /// Append the mark and wait until it has been read back.
-    Mark(EndpointMark),
+    Mark(DrainMarkRecord),
     /// Ask how far the entries have read, and the endpoint what it still runs.
-    AskAround,
+    PollProgress,
     /// Do this for the order.
     Order(OrderStep),
     /// Nothing yet.
@@ -30,13 +30,13 @@
 pub struct ChangeRun {
     endpoint: EndpointId,
     run: OrderRun,
-    rule: DrainRule,
+    rule: DrainTiming,
     drain: Option<DrainProgress>,
 }
 
 impl ChangeRun {
     /// A change of `endpoint` by the order `run`.
-    pub fn new(endpoint: EndpointId, run: OrderRun, rule: DrainRule) -> ChangeRun {
+    pub fn new(endpoint: EndpointId, run: OrderRun, rule: DrainTiming) -> ChangeRun {
         ChangeRun {
             endpoint,
             run,
@@ -72,7 +72,7 @@
         &mut self,
         now: ClockTime,
         grant: Option<&DutyGrant>,
-        marks: &LeavingMarks,
+        marks: &DrainMarks,
         orders: &OrderState,
     ) -> ChangeStep {
         let step = self.run.next_step(now, grant, orders);
@@ -98,27 +98,27 @@
         }
         match self.drain_state() {
             Some(DrainState::Empty) => ChangeStep::Order(step),
-            _ => ChangeStep::AskAround,
+            _ => ChangeStep::PollProgress,
         }
     }
 
     /// Takes what is known of the entries.
-    pub fn hear_entries(&mut self, now: ClockTime, entries: &[EntryProgress]) {
+    pub fn note_entries(&mut self, now: ClockTime, entries: &[EntryProgress]) {
         if let Some(drain) = &mut self.drain {
-            drain.hear_entries(now, entries, &self.rule);
+            drain.note_entries(now, entries, &self.rule);
         }
     }
 
     /// Takes what the endpoint said of its work in flight to a question asked at
     /// `asked_at`.
-    pub fn hear_endpoint(&mut self, asked_at: ClockTime, in_flight: u64) {
+    pub fn note_endpoint(&mut self, asked_at: ClockTime, in_flight: u64) {
         if let Some(drain) = &mut self.drain {
-            drain.hear_endpoint(asked_at, in_flight);
+            drain.note_endpoint(asked_at, in_flight);
         }
     }
 
-    fn mark(&self, grant: &DutyGrant, state: MarkState) -> EndpointMark {
-        EndpointMark {
+    fn mark(&self, grant: &DutyGrant, state: MarkState) -> DrainMarkRecord {
+        DrainMarkRecord {
             endpoint: self.endpoint.clone(),
             state,
             duty: grant.duty.clone(),
@@ -128,7 +128,7 @@
 
     /// The mark that gives the endpoint work again, for a change that has ended
     /// here; none after a stop, which leaves nothing to give work to.
-    pub fn staying_mark(&self, grant: &DutyGrant) -> Option<EndpointMark> {
+    pub fn staying_mark(&self, grant: &DutyGrant) -> Option<DrainMarkRecord> {
         let stopped = matches!(self.run.body(), OrderBody::StopEndpoint { .. });
         (!stopped).then(|| self.mark(grant, MarkState::Staying))
     }
--- a/crates/core/src/orders/mod.rs
+++ b/crates/core/src/orders/mod.rs
@@ -14,7 +14,7 @@
 
 pub use self::{
     change::{ChangeRun, ChangeStep},
-    run::{EffectView, EngineView, OrderRule, OrderRun, OrderStep, SendAnswer},
+    run::{EngineView, ObservedEffect, OrderRun, OrderStep, OrderTiming, SendAnswer},
 };
 use crate::{
     authority::LeaseState,
--- a/crates/core/src/orders/run.rs
+++ b/crates/core/src/orders/run.rs
@@ -16,14 +16,14 @@
 
 /// How long orders and leases take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OrderRule {
+pub struct OrderTiming {
     /// How long one sending may take before it is given up.
     pub timeout: TimeSpan,
     /// The pause before the receiver is looked at or sent to again.
-    pub pause: TimeSpan,
+    pub retry_pause: TimeSpan,
     /// How long a new holder of a duty waits before it orders anything new from a
     /// receiver that ignores fencing numbers: lease, order timeout and margin.
-    pub quiet: TimeSpan,
+    pub takeover_delay: TimeSpan,
 }
 
 /// What an engine says of itself.
@@ -43,7 +43,7 @@
 
 /// What can be seen of an order's effect at its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum EffectView {
+pub enum ObservedEffect {
     /// The engine answered.
     Engine(EngineView),
     /// The effect is there.
@@ -53,7 +53,7 @@
     /// Another effect stands in its place, which the order can't undo.
     Conflicting,
     /// The receiver does not exist any more.
-    Gone,
+    Removed,
     /// The receiver could not be asked.
     Unreachable,
 }
@@ -103,7 +103,7 @@
     order: OrderId,
     body: OrderBody,
     checks_fencing: bool,
-    rule: OrderRule,
+    rule: OrderTiming,
     intended: bool,
     verdict: Option<(OrderOutcome, &'static str)>,
     stopped: Option<&'static str>,
@@ -116,7 +116,12 @@
 impl OrderRun {
     /// A run of the order `order`, new or found open in the log, to a receiver
     /// that checks fencing numbers or ignores them.
-    pub fn new(order: OrderId, body: OrderBody, checks_fencing: bool, rule: OrderRule) -> OrderRun {
+    pub fn new(
+        order: OrderId,
+        body: OrderBody,
+        checks_fencing: bool,
+        rule: OrderTiming,
+    ) -> OrderRun {
         OrderRun {
             order,
             body,
@@ -186,7 +191,7 @@
         // A predecessor that was frozen between its look at the clock and its
         // sending may still send: a receiver that ignores fencing numbers would
         // obey both. Until such a sending has timed out nothing new is ordered.
-        if !self.checks_fencing && now < grant.claimed_at + self.rule.quiet {
+        if !self.checks_fencing && now < grant.claimed_at + self.rule.takeover_delay {
             return OrderStep::Wait("a predecessor's order may still arrive");
         }
         OrderStep::Intend(self.intent(grant))
@@ -217,22 +222,22 @@
     }
 
     /// Notes that the intent has been appended and read back, counted or not.
-    pub fn intended(&mut self) {
+    pub fn note_intent(&mut self) {
         self.intended = true;
     }
 
     /// Takes what was seen at the receiver.
-    pub fn observed(&mut self, now: ClockTime, view: &EffectView) {
+    pub fn note_observation(&mut self, now: ClockTime, view: &ObservedEffect) {
         match view {
-            EffectView::Done => self.verdict = Some((OrderOutcome::Applied, "seen in effect")),
-            EffectView::Conflicting => {
+            ObservedEffect::Done => self.verdict = Some((OrderOutcome::Applied, "seen in effect")),
+            ObservedEffect::Conflicting => {
                 let reason = "the receiver has something else in its place";
                 self.verdict = Some((OrderOutcome::Refused, reason));
             }
-            EffectView::Gone => self.verdict = Some(self.gone_verdict()),
-            EffectView::Unreachable => self.resume_at = now + self.rule.pause,
-            EffectView::Absent => self.observed = true,
-            EffectView::Engine(engine) => self.observed_engine(now, engine),
+            ObservedEffect::Removed => self.verdict = Some(self.gone_verdict()),
+            ObservedEffect::Unreachable => self.resume_at = now + self.rule.retry_pause,
+            ObservedEffect::Absent => self.observed = true,
+            ObservedEffect::Engine(engine) => self.observed_engine(now, engine),
         }
     }
 
@@ -249,7 +254,7 @@
             .is_some_and(|incarnation| incarnation != engine.incarnation);
         self.incarnation = Some(engine.incarnation);
         if engine.changing {
-            self.resume_at = now + self.rule.pause;
+            self.resume_at = now + self.rule.retry_pause;
             return;
         }
         if engine.last_order.as_ref() == Some(&self.order) {
@@ -266,10 +271,10 @@
     }
 
     /// Takes what became of a sending.
-    pub fn answered(&mut self, now: ClockTime, answer: SendAnswer) {
+    pub fn note_answer(&mut self, now: ClockTime, answer: SendAnswer) {
         self.sent = true;
         self.observed = false;
-        self.resume_at = now + self.rule.pause;
+        self.resume_at = now + self.rule.retry_pause;
         match answer {
             SendAnswer::Accepted | SendAnswer::Unavailable | SendAnswer::Unknown => {}
             SendAnswer::Done => self.verdict = Some((OrderOutcome::Applied, "carried out")),
--- a/crates/core/src/placement/engine.rs
+++ b/crates/core/src/placement/engine.rs
@@ -374,7 +374,7 @@
         let earliest = TimeSpan::from_millis(earliest_ms as u64);
         match earliest > request.time_left {
             true => Err(PlacementError::TooLate {
-                late: earliest.less(request.time_left),
+                late: earliest.saturating_sub(request.time_left),
             }),
             false => Ok(()),
         }
--- a/crates/core/src/records/checkpoint.rs
+++ b/crates/core/src/records/checkpoint.rs
@@ -6,8 +6,8 @@
     config::{UnitBody, UnitName},
     ids::{KeyDigest, LogOffset, OrderId, WriterId},
     records::{
-        ClaimSettlement, DutyName, EndpointMark, IdempotencyClaim, IntentRecord, LeaseRecord,
-        OrderBody, OrderOutcome, QuarantineRecord, UsageWindow, WindowFigures,
+        ClaimSettlement, DrainMarkRecord, DutyName, IdempotencyClaim, IntentRecord, LeaseRecord,
+        OrderBody, OrderOutcome, QuarantineRecord, UsageWindow, WindowUsage,
     },
 };
 
@@ -77,7 +77,7 @@
     /// A mark in force.
     Mark {
         /// The mark.
-        mark: EndpointMark,
+        mark: DrainMarkRecord,
         /// Where it stands.
         #[serde(default)]
         offset: LogOffset,
@@ -94,7 +94,7 @@
     /// A usage window that is not yet reported.
     Window {
         /// Its figures.
-        figures: WindowFigures,
+        figures: WindowUsage,
     },
     /// The last usage window that has been closed.
     ClosedWindow {
--- a/crates/core/src/records/marks.rs
+++ b/crates/core/src/records/drain_marks.rs
@@ -20,7 +20,7 @@
 /// An endpoint is about to leave, or no longer is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct EndpointMark {
+pub struct DrainMarkRecord {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// What the mark says.
--- a/crates/core/src/records/mod.rs
+++ b/crates/core/src/records/mod.rs
@@ -6,8 +6,8 @@
 mod checkpoint;
 mod claims;
 mod configuration;
+mod drain_marks;
 mod duties;
-mod marks;
 mod orders;
 mod quarantine;
 mod usage;
@@ -18,11 +18,11 @@
     checkpoint::{CheckpointItem, CheckpointPart},
     claims::{ClaimBatch, ClaimSettlement, IdempotencyClaim, SettledResult, SettlementBatch},
     configuration::{PublishRecord, UnitChange, WithdrawRecord},
+    drain_marks::{DrainMarkRecord, MarkState},
     duties::{DutyName, LeaseAction, LeaseRecord},
-    marks::{EndpointMark, MarkState},
     orders::{CapacityKind, EngineRole, IntentRecord, OrderBody, OrderOutcome, OutcomeRecord},
     quarantine::QuarantineRecord,
-    usage::{UsageDelta, UsageLine, UsageWindow, WindowClose, WindowFigures},
+    usage::{UsageDelta, UsageLine, UsageWindow, WindowClose, WindowUsage},
 };
 use crate::ids::{LogOffset, WriterId};
 
@@ -62,7 +62,7 @@
     /// What became of claimed actions, batched.
     Settlements(SettlementBatch),
     /// An endpoint is about to leave, or no longer is.
-    Mark(EndpointMark),
+    Mark(DrainMarkRecord),
     /// What one entry metered.
     Usage(UsageDelta),
     /// The end of a usage window, which freezes its figures.
--- a/crates/core/src/records/usage.rs
+++ b/crates/core/src/records/usage.rs
@@ -90,7 +90,7 @@
 /// The figures of a window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WindowFigures {
+pub struct WindowUsage {
     /// The window.
     pub window: UsageWindow,
     /// Whether a close record froze the figures.
--- a/crates/core/src/relay/mod.rs
+++ b/crates/core/src/relay/mod.rs
@@ -33,7 +33,9 @@
 /// The maximum age of relayed data for changes that must take effect within `bound`:
 /// past it, a direct read still finds a change that was not relayed in time.
 pub fn relay_age_limit(bound: TimeSpan) -> TimeSpan {
-    bound.less(DIRECT_READ_TIME).max(MIN_RELAY_AGE_LIMIT)
+    bound
+        .saturating_sub(DIRECT_READ_TIME)
+        .max(MIN_RELAY_AGE_LIMIT)
 }
 
 /// How long the endpoint digests of an instance and its reader may differ before the
--- a/crates/core/src/roles/baselines.rs
+++ b/crates/core/src/roles/baselines.rs
@@ -3,17 +3,17 @@
 use crate::{
     clock::ClockTime,
     records::EngineRole,
-    roles::{PlannedRole, RoleInputs, planner::serving_counts},
+    roles::{PlannedRoleChange, RoleInputs, planner::serving_counts},
 };
 
 /// Roles stay as they were set up.
-pub fn static_roles() -> impl FnMut(ClockTime, &RoleInputs) -> Vec<PlannedRole> {
+pub fn static_roles() -> impl FnMut(ClockTime, &RoleInputs) -> Vec<PlannedRoleChange> {
     |_, _| Vec::new()
 }
 
 /// Roles follow the demand of the last seconds at once, whatever a change costs:
 /// the engines that don't mix are divided as the work is.
-pub fn eager_roles() -> impl FnMut(ClockTime, &RoleInputs) -> Vec<PlannedRole> {
+pub fn eager_roles() -> impl FnMut(ClockTime, &RoleInputs) -> Vec<PlannedRoleChange> {
     |_, inputs| {
         let counts = serving_counts(&inputs.engines);
         let engines = counts.prefill + counts.decode;
@@ -42,7 +42,7 @@
             .iter()
             .filter(|engine| engine.serving && !engine.changing && engine.role == from);
         free.take(count as usize)
-            .map(|engine| PlannedRole {
+            .map(|engine| PlannedRoleChange {
                 endpoint: engine.endpoint.clone(),
                 from,
                 to,
--- a/crates/core/src/roles/demand.rs
+++ b/crates/core/src/roles/demand.rs
@@ -91,7 +91,7 @@
     ) {
         self.started_at.get_or_insert(now);
         let bucket = self.bucket(now, pool);
-        bucket.prompt += prompt.less(cached).count();
+        bucket.prompt += prompt.saturating_sub(cached).count();
         bucket.output += max_output.count();
     }
 
--- a/crates/core/src/roles/mod.rs
+++ b/crates/core/src/roles/mod.rs
@@ -19,4 +19,4 @@
 
 pub use capacity::{EngineRates, RoleCounts, servable_share};
 pub use demand::{DemandEstimator, PoolDemand, TokenDemand};
-pub use planner::{PlannedRole, RoleEngine, RoleInputs, RolePlanner, RoleSettings};
+pub use planner::{PlannedRoleChange, RoleEngine, RoleInputs, RolePlanner, RoleSettings};
--- a/crates/core/src/roles/planner.rs
+++ b/crates/core/src/roles/planner.rs
@@ -24,12 +24,15 @@
     /// How long an engine is away while it changes, draining included.
     pub change_time: TimeSpan,
     /// How long an engine keeps a role at least.
-    pub rest: TimeSpan,
+    #[serde(rename = "rest")]
+    pub min_role_time: TimeSpan,
     /// The headroom to keep, as the share of the demand that can be served, in
     /// thousandths: beyond it more capacity gains nothing.
-    pub enough: u64,
+    #[serde(rename = "enough")]
+    pub target_share: u64,
     /// The least gain over the horizon, in thousandths of the demand.
-    pub least_gain: u64,
+    #[serde(rename = "least_gain")]
+    pub min_gain: u64,
 }
 
 impl Default for RoleSettings {
@@ -37,9 +40,9 @@
         RoleSettings {
             horizon: TimeSpan::from_secs(90),
             change_time: TimeSpan::from_secs(8),
-            rest: TimeSpan::from_secs(45),
-            enough: 1_300,
-            least_gain: 20,
+            min_role_time: TimeSpan::from_secs(45),
+            target_share: 1_300,
+            min_gain: 20,
         }
     }
 }
@@ -76,7 +79,7 @@
 
 /// A change of an engine's role.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlannedRole {
+pub struct PlannedRoleChange {
     /// The engine.
     pub endpoint: EndpointId,
     /// Its role now.
@@ -113,7 +116,7 @@
     /// The changes to order now: at most one in each failure domain, counting
     /// those under way, and each only if it pays for itself after the ones
     /// before it.
-    pub fn plan(&self, now: ClockTime, inputs: &RoleInputs) -> Vec<PlannedRole> {
+    pub fn plan(&self, now: ClockTime, inputs: &RoleInputs) -> Vec<PlannedRoleChange> {
         let mut counts = serving_counts(&inputs.engines);
         let mut busy: Vec<&FailureDomain> = Vec::new();
         for engine in inputs.engines.iter().filter(|engine| engine.changing) {
@@ -142,7 +145,7 @@
     }
 
     fn may_change(&self, now: ClockTime, engine: &RoleEngine) -> bool {
-        let rested = |at| now.since(at) >= self.settings.rest;
+        let rested = |at| now.since(at) >= self.settings.min_role_time;
         engine.serving && !engine.changing && engine.changed_at.is_none_or(rested)
     }
 
@@ -187,10 +190,14 @@
             return None;
         }
         let gain_by = |demand: TokenDemand| {
-            let share = |counts| servable_share(counts, demand, inputs.rates).min(settings.enough);
+            let share =
+                |counts| servable_share(counts, demand, inputs.rates).min(settings.target_share);
             let (before, during) = (share(counts), share(counts.without(from)));
             let after = share(after);
-            let rest = settings.horizon.less(settings.change_time).as_millis();
+            let rest = settings
+                .horizon
+                .saturating_sub(settings.change_time)
+                .as_millis();
             let won = (after as i64 - before as i64) * rest as i64;
             let lost = (before as i64 - during as i64) * settings.change_time.as_millis() as i64;
             RoleGain {
@@ -206,13 +213,13 @@
             true => short,
             false => long,
         };
-        let needed = (settings.least_gain * settings.horizon.as_millis()) as i64;
+        let needed = (settings.min_gain * settings.horizon.as_millis()) as i64;
         (least.gain >= needed).then_some(least)
     }
 
-    fn planned(&self, engine: &RoleEngine, gain: RoleGain) -> PlannedRole {
+    fn planned(&self, engine: &RoleEngine, gain: RoleGain) -> PlannedRoleChange {
         let percent = |share: u64| share / 10;
-        PlannedRole {
+        PlannedRoleChange {
             endpoint: engine.endpoint.clone(),
             from: gain.from,
             to: gain.to,
--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -33,7 +33,7 @@
     fn less(self, other: OutstandingWork) -> OutstandingWork {
         OutstandingWork {
             requests: self.requests.saturating_sub(other.requests),
-            prefill: self.prefill.less(other.prefill),
+            prefill: self.prefill.saturating_sub(other.prefill),
         }
     }
 
@@ -88,7 +88,7 @@
     /// Records that the `prompt` tokens of a sent request are prefilled: its first
     /// token was received.
     pub fn note_prefilled(&mut self, now: ClockTime, prompt: TokenCount, max_age: TimeSpan) {
-        self.local.prefill = self.local.prefill.less(prompt);
+        self.local.prefill = self.local.prefill.saturating_sub(prompt);
         self.record_history(now, max_age);
     }
 
@@ -96,7 +96,7 @@
     /// prefilled.
     pub fn note_ended(&mut self, now: ClockTime, unprefilled: TokenCount, max_age: TimeSpan) {
         self.local.requests = self.local.requests.saturating_sub(1);
-        self.local.prefill = self.local.prefill.less(unprefilled);
+        self.local.prefill = self.local.prefill.saturating_sub(unprefilled);
         self.record_history(now, max_age);
     }
 
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -28,7 +28,7 @@
             }
 
             /// This less `other`, or zero.
-            pub const fn less(self, other: $name) -> $name {
+            pub const fn saturating_sub(self, other: $name) -> $name {
                 $name(self.0.saturating_sub(other.0))
             }
         }
--- a/crates/core/src/usage/metered.rs
+++ b/crates/core/src/usage/metered.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// The windows with news, in full. They stay news until [`UsageMeter::published`].
-    pub fn news(&self) -> Vec<(UsageWindow, MeteredCounts)> {
+    /// The windows with news, in full. They stay news until [`UsageMeter::mark_published`].
+    pub fn unpublished(&self) -> Vec<(UsageWindow, MeteredCounts)> {
         let windows = self.windows.iter();
         let changed = windows.filter(|(window, _)| self.unpublished.contains_key(window));
         changed
@@ -74,7 +74,7 @@
     }
 
     /// The store acknowledged these.
-    pub fn published(&mut self, news: &[(UsageWindow, MeteredCounts)]) {
+    pub fn mark_published(&mut self, news: &[(UsageWindow, MeteredCounts)]) {
         for (window, counts) in news {
             if self.windows.get(window) == Some(counts) {
                 self.unpublished.remove(window);
@@ -98,7 +98,7 @@
     }
 
     /// Takes what was published; later words of a writer replace earlier ones.
-    pub fn take(&mut self, window: UsageWindow, writer: MeterWriter, counts: MeteredCounts) {
+    pub fn record(&mut self, window: UsageWindow, writer: MeterWriter, counts: MeteredCounts) {
         let writers = self.windows.entry(window).or_default();
         writers.insert(writer, counts);
         while self.windows.len() > 2 * WINDOWS_KEPT {
--- a/crates/core/src/usage/mod.rs
+++ b/crates/core/src/usage/mod.rs
@@ -15,7 +15,7 @@
     clock::{ClockTime, TimeSpan},
     ids::LogOffset,
     records::{
-        CheckpointItem, DutyName, UsageDelta, UsageLine, UsageWindow, WindowClose, WindowFigures,
+        CheckpointItem, DutyName, UsageDelta, UsageLine, UsageWindow, WindowClose, WindowUsage,
     },
 };
 
@@ -106,7 +106,7 @@
     pub fn checkpoint(&self) -> Vec<CheckpointItem> {
         let item = |frozen: bool| {
             move |(window, lines): (&UsageWindow, &Vec<UsageLine>)| CheckpointItem::Window {
-                figures: WindowFigures {
+                figures: WindowUsage {
                     window: *window,
                     frozen,
                     lines: lines.clone(),
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -9,9 +9,9 @@
     checkpoint::CheckpointReader,
     claims::ClaimState,
     clock::ClockTime,
+    draining::DrainMarks,
     ids::{EndpointId, KeyDigest, LogOffset, OrganisationId},
     keys::KeyState,
-    marks::LeavingMarks,
     orders::OrderState,
     publication::{ConfigurationState, PublishRefusal},
     quarantine::QuarantineState,
@@ -38,7 +38,7 @@
         refusal: PublishRefusal,
     },
     /// A key admits nobody any more; its running work ends.
-    KeyLost {
+    KeyRevoked {
         /// Its digest.
         digest: KeyDigest,
     },
@@ -66,7 +66,8 @@
     /// Claimed idempotency keys.
     pub claims: ClaimState,
     /// Leaving endpoints.
-    pub marks: LeavingMarks,
+    #[serde(rename = "marks")]
+    pub drain_marks: DrainMarks,
     /// Metered usage.
     pub usage: UsageState,
     /// Quarantined requests.
@@ -132,7 +133,7 @@
         items.extend(self.writers.checkpoint());
         items.extend(self.leases.checkpoint());
         items.extend(self.orders.checkpoint());
-        items.extend(self.marks.checkpoint());
+        items.extend(self.drain_marks.checkpoint());
         items.extend(self.usage.checkpoint());
         items.extend(self.claims.checkpoint());
         items.extend(self.quarantine.checkpoint());
@@ -153,7 +154,7 @@
             view.writers.restore(item);
             view.leases.restore(now, item);
             view.orders.restore(now, item);
-            view.marks.restore(now, item);
+            view.drain_marks.restore(now, item);
             view.usage.restore(now, item);
             view.claims.restore(now, item);
             view.quarantine.restore(now, item);
@@ -171,10 +172,10 @@
             let before = former.key_organisation(digest);
             before.is_some() && before != self.key_organisation(digest)
         });
-        let lost = lost.map(|digest| ViewEvent::KeyLost {
+        let lost = lost.map(|digest| ViewEvent::KeyRevoked {
             digest: digest.clone(),
         });
-        let marked = self.marks.marks().chain(former.marks.marks());
+        let marked = self.drain_marks.iter().chain(former.drain_marks.iter());
         let marked = marked.map(|(endpoint, _)| ViewEvent::Marked {
             endpoint: endpoint.clone(),
         });
@@ -193,7 +194,9 @@
         match record {
             LogRecord::Publish(publish) => match self.configuration.apply(offset, publish) {
                 Ok(lost) => {
-                    let lost = lost.into_iter().map(|digest| ViewEvent::KeyLost { digest });
+                    let lost = lost
+                        .into_iter()
+                        .map(|digest| ViewEvent::KeyRevoked { digest });
                     std::iter::once(ViewEvent::Published { offset })
                         .chain(lost)
                         .collect()
@@ -226,7 +229,7 @@
                 Vec::new()
             }
             LogRecord::Mark(mark) => {
-                self.marks.apply(now, offset, mark, &self.leases);
+                self.drain_marks.apply(now, offset, mark, &self.leases);
                 vec![ViewEvent::Marked {
                     endpoint: mark.endpoint.clone(),
                 }]
@@ -262,7 +265,7 @@
         if !self.keys.withdraw(withdrawal) {
             return Vec::new();
         }
-        vec![ViewEvent::KeyLost {
+        vec![ViewEvent::KeyRevoked {
             digest: withdrawal.digest.clone(),
         }]
     }
--- a/crates/core/src/writers.rs
+++ b/crates/core/src/writers.rs
@@ -24,7 +24,7 @@
 
 /// The last record of one writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct WriterMark {
+pub struct WriterPosition {
     /// The writer's own number for it.
     pub sequence: u64,
     /// Where it stands.
@@ -34,7 +34,7 @@
 /// The last record of every writer that is remembered.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct WriterTable {
-    marks: BTreeMap<WriterId, WriterMark>,
+    marks: BTreeMap<WriterId, WriterPosition>,
     #[serde(skip)]
     by_offset: BTreeMap<LogOffset, WriterId>,
 }
@@ -52,11 +52,11 @@
         if last.is_some_and(|last| sequence <= last.sequence) {
             return false;
         }
-        self.remember(writer, WriterMark { sequence, offset });
+        self.remember(writer, WriterPosition { sequence, offset });
         true
     }
 
-    fn remember(&mut self, writer: &WriterId, mark: WriterMark) {
+    fn remember(&mut self, writer: &WriterId, mark: WriterPosition) {
         if let Some(last) = self.marks.insert(writer.clone(), mark) {
             self.by_offset.remove(&last.offset);
         }
@@ -70,13 +70,13 @@
     }
 
     /// Where the last record of `writer` stands that counts.
-    pub fn standing(&self, writer: &WriterId) -> Option<WriterMark> {
+    pub fn last_record(&self, writer: &WriterId) -> Option<WriterPosition> {
         self.marks.get(writer).copied()
     }
 
     /// The table as checkpoint items.
     pub fn checkpoint(&self) -> Vec<CheckpointItem> {
-        let item = |(writer, mark): (&WriterId, &WriterMark)| CheckpointItem::Writer {
+        let item = |(writer, mark): (&WriterId, &WriterPosition)| CheckpointItem::Writer {
             writer: writer.clone(),
             sequence: mark.sequence,
             offset: mark.offset,
@@ -92,7 +92,7 @@
             offset,
         } = item
         {
-            let mark = WriterMark {
+            let mark = WriterPosition {
                 sequence: *sequence,
                 offset: *offset,
             };
--- a/crates/core/tests/checkpoint.rs
+++ b/crates/core/tests/checkpoint.rs
@@ -11,7 +11,7 @@
         RequestFingerprint, RequestId, ServiceName, WriterId,
     },
     records::{
-        ClaimBatch, ClaimSettlement, DutyName, EndpointMark, IdempotencyClaim, IntentRecord,
+        ClaimBatch, ClaimSettlement, DrainMarkRecord, DutyName, IdempotencyClaim, IntentRecord,
         LeaseAction, LeaseRecord, LogEntry, LogRecord, MarkState, OrderBody, OrderOutcome,
         OutcomeRecord, PublishRecord, QuarantineRecord, SettledResult, SettlementBatch, UnitChange,
         UsageDelta, UsageLine, UsageWindow, WindowClose, WithdrawRecord,
@@ -175,7 +175,7 @@
                     true => MarkState::Leaving,
                     false => MarkState::Staying,
                 };
-                LogRecord::Mark(EndpointMark {
+                LogRecord::Mark(DrainMarkRecord {
                     endpoint,
                     state,
                     duty,
@@ -285,7 +285,7 @@
             assert_eq!(view.keys, whole.keys, "seed {seed}");
             assert_eq!(view.writers, whole.writers, "seed {seed}");
             assert_eq!(view.leases, whole.leases, "seed {seed}");
-            assert_eq!(view.marks, whole.marks, "seed {seed}");
+            assert_eq!(view.drain_marks, whole.drain_marks, "seed {seed}");
             assert_eq!(view.quarantine, whole.quarantine, "seed {seed}");
             assert_eq!(view.claims, whole.claims, "seed {seed}");
             assert_eq!(view.usage, whole.usage, "seed {seed}");
@@ -359,7 +359,7 @@
     for n in 0..=WRITER_LIMIT {
         assert!(table.accept(&writer(n), 1, LogOffset::new(n as u64)));
     }
-    assert_eq!(table.standing(&writer(0)), None);
+    assert_eq!(table.last_record(&writer(0)), None);
     assert!(!table.accept(&writer(1), 1, LogOffset::new(WRITER_LIMIT as u64 + 1)));
     assert_eq!(table.checkpoint().len(), WRITER_LIMIT);
 }
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bluebell_core::{
-    claims::{CLAIMS_KEPT, ClaimState, ClaimVerdict},
+    claims::{ClaimState, ClaimVerdict, MAX_CLAIMS_PER_ORGANISATION},
     clock::ClockTime,
     ids::{IdempotencyKey, LogOffset, OrganisationId, RequestFingerprint, RequestId},
     records::{ClaimBatch, ClaimSettlement, IdempotencyClaim, SettledResult, SettlementBatch},
@@ -118,7 +118,7 @@
     let mut state = ClaimState::new();
     let first = claim("k0", "r0", "five");
     apply_claim(&mut state, 0, &first);
-    for number in 1..CLAIMS_KEPT as u64 {
+    for number in 1..MAX_CLAIMS_PER_ORGANISATION as u64 {
         apply_claim(
             &mut state,
             number,
@@ -133,7 +133,7 @@
     apply_claim(&mut state, 5_001, &claim("one-more", "r", "five"));
     assert_eq!(verdict(&state, &repeat), ClaimVerdict::Free);
     assert_eq!(verdict(&state, &other), ClaimVerdict::Mine);
-    assert_eq!(state.len(), CLAIMS_KEPT + 1);
+    assert_eq!(state.len(), MAX_CLAIMS_PER_ORGANISATION + 1);
 }
 
 /// One record of a random log: of few keys, requests and results.
--- a/crates/core/tests/marks.rs
+++ b/crates/core/tests/draining.rs
@@ -3,18 +3,20 @@
 use bluebell_core::{
     authority::{DutyGrant, LeaseState},
     clock::{ClockTime, TimeSpan},
+    draining::{DrainMarks, DrainProgress, DrainState, DrainTiming, EntryProgress},
     ids::{EndpointId, FailureDomain, InstanceId, LogOffset, OrderId},
-    marks::{DrainProgress, DrainRule, DrainState, EntryProgress, LeavingMarks},
-    orders::{ChangeRun, ChangeStep, OrderRule, OrderRun, OrderState, OrderStep},
-    records::{DutyName, EndpointMark, EngineRole, LeaseAction, LeaseRecord, MarkState, OrderBody},
+    orders::{ChangeRun, ChangeStep, OrderRun, OrderState, OrderStep, OrderTiming},
+    records::{
+        DrainMarkRecord, DutyName, EngineRole, LeaseAction, LeaseRecord, MarkState, OrderBody,
+    },
 };
 
 const MARK: LogOffset = LogOffset::new(10);
 
-fn rule() -> DrainRule {
-    DrainRule {
-        bound: TimeSpan::from_secs(5),
-        settle: TimeSpan::from_millis(500),
+fn rule() -> DrainTiming {
+    DrainTiming {
+        unreachable_timeout: TimeSpan::from_secs(5),
+        transit_time: TimeSpan::from_millis(500),
     }
 }
 
@@ -57,8 +59,8 @@
     leases
 }
 
-fn mark(duty: DutyName, fence: u64, state: MarkState) -> EndpointMark {
-    EndpointMark {
+fn mark(duty: DutyName, fence: u64, state: MarkState) -> DrainMarkRecord {
+    DrainMarkRecord {
         endpoint: endpoint(),
         state,
         duty,
@@ -71,11 +73,11 @@
 #[test]
 fn an_entry_that_lags_behind_the_mark_is_waited_for_without_limit() {
     let mut drain = drain();
-    drain.hear_entries(at(60_000), &entries(&[Some(11), Some(10)]), &rule());
-    drain.hear_endpoint(at(60_000), 0);
-    assert_eq!(drain.state(), DrainState::Telling);
-    drain.hear_entries(at(61_000), &entries(&[Some(11), Some(11)]), &rule());
-    assert_eq!(drain.state(), DrainState::Emptying);
+    drain.note_entries(at(60_000), &entries(&[Some(11), Some(10)]), &rule());
+    drain.note_endpoint(at(60_000), 0);
+    assert_eq!(drain.state(), DrainState::AwaitingEntries);
+    drain.note_entries(at(61_000), &entries(&[Some(11), Some(11)]), &rule());
+    assert_eq!(drain.state(), DrainState::AwaitingCompletion);
 }
 
 /// An entry was killed and never says how far it has read. Changes must go on
@@ -84,10 +86,10 @@
 fn an_entry_that_cannot_be_reached_is_waited_for_up_to_the_bound() {
     let mut drain = drain();
     let silent = entries(&[Some(11), None]);
-    drain.hear_entries(at(4_999), &silent, &rule());
-    assert_eq!(drain.state(), DrainState::Telling);
-    drain.hear_entries(at(5_000), &silent, &rule());
-    assert_eq!(drain.state(), DrainState::Emptying);
+    drain.note_entries(at(4_999), &silent, &rule());
+    assert_eq!(drain.state(), DrainState::AwaitingEntries);
+    drain.note_entries(at(5_000), &silent, &rule());
+    assert_eq!(drain.state(), DrainState::AwaitingCompletion);
 }
 
 /// An engine says that it is empty while a request is on its way that an entry
@@ -95,12 +97,12 @@
 #[test]
 fn an_answer_from_before_the_entries_were_told_does_not_count() {
     let mut drain = drain();
-    drain.hear_entries(at(1_000), &entries(&[Some(11)]), &rule());
-    drain.hear_endpoint(at(1_000), 0);
-    assert_eq!(drain.state(), DrainState::Emptying);
-    drain.hear_endpoint(at(1_500), 1);
-    assert_eq!(drain.state(), DrainState::Emptying);
-    drain.hear_endpoint(at(1_600), 0);
+    drain.note_entries(at(1_000), &entries(&[Some(11)]), &rule());
+    drain.note_endpoint(at(1_000), 0);
+    assert_eq!(drain.state(), DrainState::AwaitingCompletion);
+    drain.note_endpoint(at(1_500), 1);
+    assert_eq!(drain.state(), DrainState::AwaitingCompletion);
+    drain.note_endpoint(at(1_600), 0);
     assert_eq!(drain.state(), DrainState::Empty);
 }
 
@@ -109,7 +111,7 @@
 #[test]
 fn a_mark_counts_only_under_the_fencing_number_in_force() {
     let leases = leases(&[engines()]);
-    let mut marks = LeavingMarks::new();
+    let mut marks = DrainMarks::new();
     marks.apply(
         at(0),
         MARK,
@@ -118,7 +120,7 @@
     );
     let stale = mark(engines(), 9, MarkState::Staying);
     marks.apply(at(0), MARK.next(), &stale, &leases);
-    assert!(marks.is_leaving(&endpoint()));
+    assert!(marks.is_draining(&endpoint()));
 }
 
 /// The fleet's holder gives an endpoint work again whose role the engines' holder
@@ -126,7 +128,7 @@
 #[test]
 fn a_duty_does_not_clear_the_mark_of_another() {
     let leases = leases(&[engines(), DutyName::Fleet]);
-    let mut marks = LeavingMarks::new();
+    let mut marks = DrainMarks::new();
     marks.apply(
         at(0),
         MARK,
@@ -135,7 +137,7 @@
     );
     let foreign = mark(DutyName::Fleet, 1, MarkState::Staying);
     marks.apply(at(0), MARK.next(), &foreign, &leases);
-    assert!(marks.is_leaving(&endpoint()));
+    assert!(marks.is_draining(&endpoint()));
 }
 
 /// An operator publishes a new role plan while callers' requests run. Neither the
@@ -143,7 +145,7 @@
 #[test]
 fn a_change_waits_until_the_engine_is_empty() {
     let (leases, orders) = (leases(&[engines()]), OrderState::new());
-    let mut marks = LeavingMarks::new();
+    let mut marks = DrainMarks::new();
     let grant = DutyGrant {
         duty: engines(),
         fence: LogOffset::new(0),
@@ -154,10 +156,10 @@
         endpoint: endpoint(),
         role: EngineRole::Decode,
     };
-    let order_rule = OrderRule {
+    let order_rule = OrderTiming {
         timeout: TimeSpan::from_secs(1),
-        pause: TimeSpan::ZERO,
-        quiet: TimeSpan::from_secs(8),
+        retry_pause: TimeSpan::ZERO,
+        takeover_delay: TimeSpan::from_secs(8),
     };
     let order = OrderId::new("o1").expect("the name is valid");
     let run = OrderRun::new(order, body, true, order_rule);
@@ -168,12 +170,12 @@
     };
     marks.apply(at(0), MARK, &record, &leases);
     let step = change.next_step(at(0), Some(&grant), &marks, &orders);
-    assert_eq!(step, ChangeStep::AskAround);
-    change.hear_entries(at(0), &entries(&[Some(11)]));
-    change.hear_endpoint(at(600), 3);
+    assert_eq!(step, ChangeStep::PollProgress);
+    change.note_entries(at(0), &entries(&[Some(11)]));
+    change.note_endpoint(at(600), 3);
     let step = change.next_step(at(600), Some(&grant), &marks, &orders);
-    assert_eq!(step, ChangeStep::AskAround);
-    change.hear_endpoint(at(900), 0);
+    assert_eq!(step, ChangeStep::PollProgress);
+    change.note_endpoint(at(900), 0);
     let step = change.next_step(at(900), Some(&grant), &marks, &orders);
     assert!(
         matches!(step, ChangeStep::Order(OrderStep::Intend(_))),
--- a/crates/core/tests/orders.rs
+++ b/crates/core/tests/orders.rs
@@ -4,7 +4,9 @@
     authority::{DutyGrant, LeaseState},
     clock::{ClockTime, TimeSpan},
     ids::{EndpointId, FailureDomain, InstanceId, LogOffset, ModelName, OrderId},
-    orders::{EffectView, EngineView, OrderRule, OrderRun, OrderState, OrderStep, SendAnswer},
+    orders::{
+        EngineView, ObservedEffect, OrderRun, OrderState, OrderStep, OrderTiming, SendAnswer,
+    },
     records::{
         DutyName, EngineRole, IntentRecord, LeaseAction, LeaseRecord, OrderBody, OrderOutcome,
         OutcomeRecord,
@@ -59,11 +61,11 @@
     }
 }
 
-fn rule() -> OrderRule {
-    OrderRule {
+fn rule() -> OrderTiming {
+    OrderTiming {
         timeout: TimeSpan::from_secs(1),
-        pause: TimeSpan::ZERO,
-        quiet: TimeSpan::from_secs(8),
+        retry_pause: TimeSpan::ZERO,
+        takeover_delay: TimeSpan::from_secs(8),
     }
 }
 
@@ -74,8 +76,8 @@
     OrderRun::new(order("o1"), body, true, rule())
 }
 
-fn engine_state(incarnation: u64, last_order: Option<&str>) -> EffectView {
-    EffectView::Engine(EngineView {
+fn engine_state(incarnation: u64, last_order: Option<&str>) -> ObservedEffect {
+    ObservedEffect::Engine(EngineView {
         incarnation,
         role: EngineRole::Mixed,
         model: ModelName::new("m").expect("the name is valid"),
@@ -143,14 +145,14 @@
     lease(&mut leases, engines(), 1, None);
     let mut run = open_run(&mut orders, &leases, 1);
     let grant = grant(1, ClockTime::default());
-    run.observed(NOW, &engine_state(1, None));
+    run.note_observation(NOW, &engine_state(1, None));
     assert_eq!(run.next_step(NOW, Some(&grant), &orders), OrderStep::Send);
-    run.answered(NOW, SendAnswer::Unknown);
+    run.note_answer(NOW, SendAnswer::Unknown);
     assert_eq!(
         run.next_step(NOW, Some(&grant), &orders),
         OrderStep::Observe
     );
-    run.observed(NOW, &engine_state(1, Some("o1")));
+    run.note_observation(NOW, &engine_state(1, Some("o1")));
     let step = run.next_step(NOW, Some(&grant), &orders);
     assert!(matches!(step, OrderStep::Settle { .. }), "{step:?}");
 }
@@ -163,9 +165,9 @@
     let (mut leases, mut orders) = (LeaseState::new(), OrderState::new());
     lease(&mut leases, engines(), 1, None);
     let mut run = open_run(&mut orders, &leases, 1);
-    run.observed(NOW, &engine_state(1, None));
-    run.answered(NOW, SendAnswer::Accepted);
-    run.observed(NOW, &engine_state(2, None));
+    run.note_observation(NOW, &engine_state(1, None));
+    run.note_answer(NOW, SendAnswer::Accepted);
+    run.note_observation(NOW, &engine_state(2, None));
     let step = run.next_step(NOW, Some(&grant(1, ClockTime::default())), &orders);
     let OrderStep::Settle { record, .. } = step else {
         panic!("the order goes on: {step:?}");
@@ -215,7 +217,7 @@
     let (mut leases, mut orders) = (LeaseState::new(), OrderState::new());
     lease(&mut leases, engines(), 1, None);
     let mut run = open_run(&mut orders, &leases, 1);
-    run.observed(NOW, &engine_state(1, None));
+    run.note_observation(NOW, &engine_state(1, None));
     let grant = grant(1, ClockTime::default());
     let late = NOW + TimeSpan::from_secs(5);
     let step = run.next_step(late, Some(&grant), &orders);
--- a/crates/core/tests/orders_schedules.rs
+++ b/crates/core/tests/orders_schedules.rs
@@ -11,7 +11,7 @@
     authority::{DutyCandidacy, DutyGrant, HeldLease, LeaseManager, LeaseTiming},
     clock::{ClockTime, TimeSpan},
     ids::{EndpointId, FailureDomain, InstanceId, LogOffset, ModelName, OrderId, WriterId},
-    orders::{EffectView, EngineView, OrderRule, OrderRun, OrderStep, SendAnswer},
+    orders::{EngineView, ObservedEffect, OrderRun, OrderStep, OrderTiming, SendAnswer},
     records::{DutyName, EngineRole, LogEntry, LogRecord, OrderBody},
     view::FleetView,
 };
@@ -35,11 +35,11 @@
     }
 }
 
-fn rule() -> OrderRule {
-    OrderRule {
+fn rule() -> OrderTiming {
+    OrderTiming {
         timeout: TIMEOUT,
-        pause: TimeSpan::from_millis(250),
-        quiet: LEASE + TIMEOUT + MARGIN,
+        retry_pause: TimeSpan::from_millis(250),
+        takeover_delay: LEASE + TIMEOUT + MARGIN,
     }
 }
 
@@ -70,8 +70,8 @@
 }
 
 impl Engine {
-    fn view(&self, now: u64) -> EffectView {
-        EffectView::Engine(EngineView {
+    fn view(&self, now: u64) -> ObservedEffect {
+        ObservedEffect::Engine(EngineView {
             incarnation: self.incarnation,
             role: self.role,
             model: ModelName::new("m").expect("the name is valid"),
@@ -334,9 +334,9 @@
                 self.append(time, controller, LogRecord::Outcome(record));
             }
             OrderStep::Observe if self.rng.random_range(0..10) == 0 => {
-                run.observed(now, &EffectView::Unreachable);
+                run.note_observation(now, &ObservedEffect::Unreachable);
             }
-            OrderStep::Observe => run.observed(now, &self.engine.view(time)),
+            OrderStep::Observe => run.note_observation(now, &self.engine.view(time)),
             OrderStep::Send => controller.pending = Some((time + TICK, PendingAction::Send)),
             OrderStep::Wait(_) => {}
             OrderStep::Stop(_) => controller.run = None,
@@ -382,7 +382,7 @@
             PendingAction::Answer(answer) => {
                 let now = controller.now(time);
                 if let Some(run) = &mut controller.run {
-                    run.answered(now, answer);
+                    run.note_answer(now, answer);
                 }
             }
         }
@@ -431,7 +431,7 @@
             controller.view.apply(now, entry);
         }
         match (record, &mut controller.run) {
-            (LogRecord::Intent(_), Some(run)) => run.intended(),
+            (LogRecord::Intent(_), Some(run)) => run.note_intent(),
             (LogRecord::Lease(_), _) => controller.keeper.appended(&duty(), sent_at, offset),
             _ => {}
         }
--- a/crates/core/tests/publication.rs
+++ b/crates/core/tests/publication.rs
@@ -191,7 +191,7 @@
         publisher: "ada".to_string(),
     }));
     let digest = KeyDigest::with_key("secret");
-    assert_eq!(events, vec![ViewEvent::KeyLost { digest }]);
+    assert_eq!(events, vec![ViewEvent::KeyRevoked { digest }]);
     log.publish("ben", vec![key("a", Some(0), "one", "secret")])
         .expect("the publish itself is current");
     assert_eq!(log.admits("secret"), None);
@@ -209,7 +209,7 @@
     let publisher = "ben".to_string();
     let events = log.append(LogRecord::Publish(PublishRecord { publisher, changes }));
     let digest = KeyDigest::with_key("secret");
-    assert!(events.contains(&ViewEvent::KeyLost { digest }));
+    assert!(events.contains(&ViewEvent::KeyRevoked { digest }));
     assert_eq!(log.admits("secret").as_deref(), Some("two"));
 }
 
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -8,7 +8,7 @@
     authority::DutyGrant,
     clock::{ClockTime, TimeSpan},
     ids::{InstanceId, LogOffset, OrderId, OrganisationId, ServiceName, WriterId},
-    orders::{EffectView, OrderRule, OrderRun, OrderStep, SendAnswer},
+    orders::{ObservedEffect, OrderRun, OrderStep, OrderTiming, SendAnswer},
     records::{
         DutyName, LeaseAction, LeaseRecord, LogEntry, LogRecord, OrderBody, UsageDelta, UsageLine,
         UsageWindow, WindowClose,
@@ -194,10 +194,10 @@
                 let lags = self.rng.random_range(0..4) == 0;
                 let known = self.reports.iter().any(|(known, ..)| *known == window);
                 let view = match known && !lags {
-                    true => EffectView::Done,
-                    false => EffectView::Absent,
+                    true => ObservedEffect::Done,
+                    false => ObservedEffect::Absent,
                 };
-                run.observed(time, &view);
+                run.note_observation(time, &view);
             }
             OrderStep::Send if self.rng.random_range(0..4) == 0 => {
                 reporter.held_send = Some((window, fence));
@@ -220,16 +220,16 @@
         };
         let answer = self.report(window, fence, &lines);
         if let Some(run) = reporter.runs.get_mut(&window) {
-            run.answered(time, answer);
+            run.note_answer(time, answer);
         }
     }
 }
 
 fn report_run(window: UsageWindow) -> OrderRun {
-    let rule = OrderRule {
+    let rule = OrderTiming {
         timeout: TimeSpan::from_secs(1),
-        pause: TimeSpan::ZERO,
-        quiet: TimeSpan::ZERO,
+        retry_pause: TimeSpan::ZERO,
+        takeover_delay: TimeSpan::ZERO,
     };
     let order = OrderId::new(format!("usage:{window}")).expect("the name is valid");
     OrderRun::new(order, OrderBody::ReportUsage { window }, true, rule)
--- a/crates/core/tests/usage_metered.rs
+++ b/crates/core/tests/usage_metered.rs
@@ -29,8 +29,8 @@
         meter.count(WINDOW, &organisation("magnolia"));
     }
     for _ in 0..2 {
-        for (window, counts) in meter.news() {
-            ledger.take(window, writer("one", 1), counts);
+        for (window, counts) in meter.unpublished() {
+            ledger.record(window, writer("one", 1), counts);
         }
     }
     assert_eq!(ledger.sum(WINDOW)[&organisation("magnolia")], 3);
@@ -42,10 +42,10 @@
     // published before is not replaced by what it counts now.
     let mut ledger = UsageLedger::new();
     let counts = |count| [(organisation("magnolia"), count)].into_iter().collect();
-    ledger.take(WINDOW, writer("one", 1), counts(5));
-    ledger.take(WINDOW, writer("one", 2), counts(2));
-    ledger.take(WINDOW, writer("two", 1), counts(1));
-    ledger.take(WINDOW, writer("two", 1), counts(4));
+    ledger.record(WINDOW, writer("one", 1), counts(5));
+    ledger.record(WINDOW, writer("one", 2), counts(2));
+    ledger.record(WINDOW, writer("two", 1), counts(1));
+    ledger.record(WINDOW, writer("two", 1), counts(4));
     assert_eq!(ledger.sum(WINDOW)[&organisation("magnolia")], 11);
     assert!(ledger.sum(WINDOW.next()).is_empty());
 }
@@ -54,14 +54,14 @@
 fn what_was_counted_after_publishing_is_news_again() {
     let mut meter = UsageMeter::new();
     meter.count(WINDOW, &organisation("magnolia"));
-    let news = meter.news();
+    let news = meter.unpublished();
     // While the append is on its way, another request begins to run.
     meter.count(WINDOW, &organisation("magnolia"));
-    meter.published(&news);
-    assert_eq!(meter.news().len(), 1);
-    let news = meter.news();
-    meter.published(&news);
-    assert!(meter.news().is_empty());
+    meter.mark_published(&news);
+    assert_eq!(meter.unpublished().len(), 1);
+    let news = meter.unpublished();
+    meter.mark_published(&news);
+    assert!(meter.unpublished().is_empty());
     assert!(meter.has_counted(WINDOW));
 }
 
@@ -103,6 +103,6 @@
     for number in 0..50 {
         meter.count(UsageWindow::new(number), &organisation("magnolia"));
     }
-    assert!(meter.news().len() <= 8);
+    assert!(meter.unpublished().len() <= 8);
     assert_eq!(meter.last_windows(3)[0].0, UsageWindow::new(49));
 }
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -224,7 +224,8 @@
 
     /// Whether the endpoint gets no new work, by the log as it is read now.
     pub fn is_leaving(&self, endpoint: &EndpointId) -> bool {
-        self.node.with_view(|view| view.marks.is_leaving(endpoint))
+        self.node
+            .with_view(|view| view.drain_marks.is_draining(endpoint))
     }
 
     /// Chooses an endpoint for an attempt. The router hears of marks a moment
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -118,7 +118,7 @@
     /// leaving ends by plan: neither says anything of the request.
     pub async fn has_crashed(&self, chosen: &ChosenEndpoint, probe: ProbeResult) -> bool {
         let id = &chosen.endpoint;
-        let leaving = self.node.with_view(|view| view.marks.is_leaving(id));
+        let leaving = self.node.with_view(|view| view.drain_marks.is_draining(id));
         let stays = self.directory.state(id) == Some(EndpointState::Ready);
         if leaving || !stays {
             return false;
--- a/crates/entry/src/running.rs
+++ b/crates/entry/src/running.rs
@@ -101,7 +101,7 @@
                 event = events.recv() => event,
             };
             match event {
-                Ok(ViewEvent::KeyLost { digest }) => self.lose(&digest),
+                Ok(ViewEvent::KeyRevoked { digest }) => self.lose(&digest),
                 Ok(_) => {}
                 Err(RecvError::Lagged(_)) => self.look_again(&node),
                 Err(RecvError::Closed) => return,
--- a/crates/entry/src/traffic_feed.rs
+++ b/crates/entry/src/traffic_feed.rs
@@ -90,7 +90,7 @@
     let slots = context.directory.slots();
     let leaving: BTreeSet<_> = context.node.with_view(|view| {
         let ids = slots.iter().map(|slot| &slot.listing.endpoint);
-        ids.filter(|id| view.marks.is_leaving(id))
+        ids.filter(|id| view.drain_marks.is_draining(id))
             .cloned()
             .collect()
     });
--- a/crates/entry/tests/crashes.rs
+++ b/crates/entry/tests/crashes.rs
@@ -6,7 +6,7 @@
     clock::TimeSpan,
     ids::{EndpointId, LogOffset},
     records::{
-        DutyName, EndpointMark, LeaseAction, LeaseRecord, LogRecord, MarkState, QuarantineRecord,
+        DrainMarkRecord, DutyName, LeaseAction, LeaseRecord, LogRecord, MarkState, QuarantineRecord,
     },
 };
 use bluebell_platform::api::{EndpointKind, EndpointListing, EndpointState};
@@ -138,7 +138,7 @@
 }
 
 fn mark(endpoint: &str, fence: LogOffset) -> LogRecord {
-    LogRecord::Mark(EndpointMark {
+    LogRecord::Mark(DrainMarkRecord {
         endpoint: EndpointId::new(endpoint).unwrap(),
         state: MarkState::Leaving,
         duty: DutyName::Fleet,
--- a/crates/ingress/src/context.rs
+++ b/crates/ingress/src/context.rs
@@ -201,13 +201,20 @@
 
     /// Maximum age of the last confirmation of the API keys while keys are accepted.
     pub fn max_key_age(&self) -> TimeSpan {
-        self.settings.bounds.withdrawal.less(WITHDRAWAL_MARGIN)
+        self.settings
+            .bounds
+            .withdrawal
+            .saturating_sub(WITHDRAWAL_MARGIN)
     }
 
     /// Whether the configuration in force has been superseded for so long that requests
     /// may no longer be served under it.
     pub fn configuration_is_outdated(&self, now: ClockTime) -> bool {
-        let limit = self.settings.bounds.configuration.less(ADVERTISEMENT_DELAY);
+        let limit = self
+            .settings
+            .bounds
+            .configuration
+            .saturating_sub(ADVERTISEMENT_DELAY);
         self.configuration.lock().is_outdated(now, limit)
     }
 
--- a/crates/ingress/src/leader/publish.rs
+++ b/crates/ingress/src/leader/publish.rs
@@ -55,7 +55,7 @@
         match appended.await {
             Ok(AppendAnswer::Appended { .. }) => {
                 backoff.note_answer(&context);
-                context.meter.lock().published(&unpublished);
+                context.meter.lock().mark_published(&unpublished);
                 let current = current_window(&context).number();
                 last_published = last_published.max(UsageWindow::new(current.saturating_sub(1)));
             }
@@ -90,7 +90,7 @@
     let current = current_window(context);
     let last = UsageWindow::new(current.number().saturating_sub(1));
     let meter = context.meter.lock();
-    let unpublished = meter.news();
+    let unpublished = meter.unpublished();
     let has_ended = last_published < last && meter.has_counted(last);
     let is_due = !unpublished.is_empty() || has_ended;
     let record = is_due.then(|| UsageRecord::new(&context.writer, &unpublished, current));
--- a/crates/ingress/src/leader/task.rs
+++ b/crates/ingress/src/leader/task.rs
@@ -289,7 +289,11 @@
     fn may_freeze(&self, window: UsageWindow) -> bool {
         let bounds = &self.context.settings.bounds;
         let end_ms = window.next().number() * bounds.usage_window.as_millis();
-        let due_ms = end_ms + bounds.usage_lateness.less(REPORT_MARGIN).as_millis();
+        let due_ms = end_ms
+            + bounds
+                .usage_lateness
+                .saturating_sub(REPORT_MARGIN)
+                .as_millis();
         if wall_time().as_millis() >= due_ms {
             return true;
         }
@@ -411,7 +415,7 @@
         self.ledger.note_reached(writer.instance.clone(), current);
         for window in &record.windows {
             let number = UsageWindow::new(window.window);
-            self.ledger.take(number, writer.clone(), window.counts());
+            self.ledger.record(number, writer.clone(), window.counts());
         }
     }
 }
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -3,14 +3,14 @@
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
     records::EngineRole,
-    roles::{PlannedRole, RoleInputs, RolePlanner, RoleSettings, baselines::eager_roles},
+    roles::{PlannedRoleChange, RoleInputs, RolePlanner, RoleSettings, baselines::eager_roles},
     routing::{EndpointSnapshot, RoutingSettings, baselines},
 };
 
 /// A closure that picks an endpoint.
 pub type EndpointPick = Box<dyn FnMut(&[EndpointSnapshot]) -> Option<usize>>;
 /// A closure that plans roles.
-pub type RolePick = Box<dyn FnMut(ClockTime, &RoleInputs) -> Vec<PlannedRole>>;
+pub type RolePick = Box<dyn FnMut(ClockTime, &RoleInputs) -> Vec<PlannedRoleChange>>;
 
 /// How entries admit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -124,8 +124,8 @@
         let Some(to) = self.lengths.get(after) else {
             return from;
         };
-        let span = to.at.less(from.at).as_millis().max(1) as f64;
-        let share = at.less(from.at).as_millis() as f64 / span;
+        let span = to.at.saturating_sub(from.at).as_millis().max(1) as f64;
+        let share = at.saturating_sub(from.at).as_millis() as f64 / span;
         let between = |a: u64, b: u64| (a as f64 + (b as f64 - a as f64) * share).round() as u64;
         LengthPoint {
             at,
--- a/crates/node/src/handle.rs
+++ b/crates/node/src/handle.rs
@@ -234,7 +234,7 @@
             let message = format!("it may stand twice, up to offset {}", appended.offset);
             return Err(AppendError::Unknown(message));
         }
-        let standing = self.with_view(|view| view.writers.standing(&self.state.writer));
+        let standing = self.with_view(|view| view.writers.last_record(&self.state.writer));
         match standing {
             Some(mark) if mark.sequence == appended.sequence => Ok(mark.offset),
             // The writer has appended since; only the first copy can have been
@@ -262,7 +262,7 @@
             *wanted = (*wanted).max(offset.next());
             further
         });
-        applied(patience.less(RELAY_PATIENCE)).await
+        applied(patience.saturating_sub(RELAY_PATIENCE)).await
     }
 
     /// Waits until the node has caught up; answers whether it did within `patience`.
