--- a/crates/ingress/src/context.rs
+++ b/crates/ingress/src/context.rs
@@ -201,7 +201,10 @@
 
     /// Maximum age of the last confirmation of the API keys while keys are accepted.
     pub fn max_key_age(&self) -> TimeSpan {
-        self.settings.bounds.key_withdrawal.less(WITHDRAWAL_MARGIN)
+        self.settings
+            .bounds
+            .key_withdrawal
+            .saturating_sub(WITHDRAWAL_MARGIN)
     }
 
     /// Whether the configuration in force has been superseded for so long that requests
@@ -211,7 +214,7 @@
             .settings
             .bounds
             .configuration_rollout
-            .less(ADVERTISEMENT_DELAY);
+            .saturating_sub(ADVERTISEMENT_DELAY);
         self.configuration.lock().is_outdated(now, limit)
     }
 
