--- a/crates/entry/src/running.rs
+++ b/crates/entry/src/active_keys.rs
@@ -15,33 +15,33 @@
 use tokio_util::sync::CancellationToken;
 
 #[derive(Debug, Default)]
-struct RunningKey {
+struct ActiveKey {
     lost: CancellationToken,
     requests: u64,
 }
 
 /// The keys in use; clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct RunningKeys {
-    keys: Arc<Mutex<BTreeMap<KeyDigest, RunningKey>>>,
+pub struct ActiveKeys {
+    keys: Arc<Mutex<BTreeMap<KeyDigest, ActiveKey>>>,
 }
 
 /// One request in progress, until it is dropped.
 #[derive(Debug)]
-pub struct RunningTicket {
+pub struct KeyTicket {
     key: KeyDigest,
     lost: CancellationToken,
-    running: RunningKeys,
+    running: ActiveKeys,
 }
 
-impl RunningTicket {
+impl KeyTicket {
     /// Cancelled when the key is withdrawn.
-    pub fn lost(&self) -> &CancellationToken {
+    pub fn withdrawn(&self) -> &CancellationToken {
         &self.lost
     }
 }
 
-impl Drop for RunningTicket {
+impl Drop for KeyTicket {
     fn drop(&mut self) {
         let mut keys = self.running.keys.lock().expect("no holder panics");
         let Some(running) = keys.get_mut(&self.key) else {
@@ -54,18 +54,18 @@
     }
 }
 
-impl RunningKeys {
+impl ActiveKeys {
     /// No request yet.
-    pub fn new() -> RunningKeys {
-        RunningKeys::default()
+    pub fn new() -> ActiveKeys {
+        ActiveKeys::default()
     }
 
     /// Notes a request that came with `key`.
-    pub fn enter(&self, key: &KeyDigest) -> RunningTicket {
+    pub fn register(&self, key: &KeyDigest) -> KeyTicket {
         let mut keys = self.keys.lock().expect("no holder panics");
         let running = keys.entry(key.clone()).or_default();
         running.requests += 1;
-        RunningTicket {
+        KeyTicket {
             key: key.clone(),
             lost: running.lost.clone(),
             running: self.clone(),
--- a/crates/entry/src/answer_body.rs
+++ b/crates/entry/src/answer_body.rs
@@ -37,12 +37,12 @@
     /// Server-sent events, one for each token.
     Sse,
     /// One JSON text.
-    Whole,
+    Json,
 }
 
 /// What the answer belongs to.
 #[derive(Clone, Debug)]
-pub struct AnswerHead {
+pub struct AnswerMetadata {
     /// The request.
     pub request: RequestId,
     /// Whose it is.
@@ -54,7 +54,7 @@
 /// An answer on its way.
 pub struct AnswerBody {
     context: Arc<EntryContext>,
-    head: AnswerHead,
+    head: AnswerMetadata,
     format: AnswerFormat,
     events: mpsc::Receiver<AnswerEvent>,
     queued: VecDeque<AnswerEvent>,
@@ -71,7 +71,7 @@
     /// The body that `events` fill; dropping it cancels `gone`.
     pub fn new(
         context: Arc<EntryContext>,
-        head: AnswerHead,
+        head: AnswerMetadata,
         format: AnswerFormat,
         events: mpsc::Receiver<AnswerEvent>,
         gone: CancellationToken,
@@ -119,7 +119,7 @@
             let event = self.events.recv().await?;
             match event {
                 AnswerEvent::Failed(refusal) if self.queued.is_empty() => return Some(refusal),
-                AnswerEvent::Token(_) if self.format == AnswerFormat::Whole => {
+                AnswerEvent::Token(_) if self.format == AnswerFormat::Json => {
                     self.queued.push_back(event);
                 }
                 _ => {
@@ -131,7 +131,7 @@
     }
 
     async fn next_chunk(&mut self) -> Option<String> {
-        self.delivery.taken();
+        self.delivery.count_pending();
         if self.ended {
             return None;
         }
@@ -168,20 +168,20 @@
     fn sign_of_life(&self) -> String {
         match self.format {
             AnswerFormat::Sse => ": waiting\n\n".to_string(),
-            AnswerFormat::Whole => " ".to_string(),
+            AnswerFormat::Json => " ".to_string(),
         }
     }
 
     fn write(&mut self, event: AnswerEvent) -> Option<String> {
         match (event, self.format) {
-            (AnswerEvent::Token(text), AnswerFormat::Whole) => {
+            (AnswerEvent::Token(text), AnswerFormat::Json) => {
                 self.tokens += 1;
                 self.text.push_str(&text);
                 None
             }
             (AnswerEvent::Token(text), AnswerFormat::Sse) => {
                 self.tokens += 1;
-                self.delivery.hand_over(0, 1);
+                self.delivery.note_pending(0, 1);
                 Some(self.sse_chunk(&json!({"content": text}), None, None))
             }
             (AnswerEvent::End(end), format) => {
@@ -189,11 +189,11 @@
                 let prompt_tokens = end.prompt_tokens.count();
                 Some(match format {
                     AnswerFormat::Sse => {
-                        self.delivery.hand_over(prompt_tokens, 0);
+                        self.delivery.note_pending(prompt_tokens, 0);
                         self.sse_end(end)
                     }
-                    AnswerFormat::Whole => {
-                        self.delivery.hand_over(prompt_tokens, self.tokens);
+                    AnswerFormat::Json => {
+                        self.delivery.note_pending(prompt_tokens, self.tokens);
                         self.whole(end)
                     }
                 })
@@ -202,7 +202,7 @@
                 self.ended = true;
                 Some(match format {
                     AnswerFormat::Sse => format!("event: error\ndata: {}\n\n", refusal.json()),
-                    AnswerFormat::Whole => refusal.json(),
+                    AnswerFormat::Json => refusal.json(),
                 })
             }
         }
@@ -273,7 +273,7 @@
     fn respond_to(self, _request: &'r Request<'_>) -> rocket::response::Result<'static> {
         let content_type = match self.body.format {
             AnswerFormat::Sse => ContentType::EventStream,
-            AnswerFormat::Whole => ContentType::JSON,
+            AnswerFormat::Json => ContentType::JSON,
         };
         let chunks = futures::stream::unfold(self.body, |mut body| async move {
             let chunk = body.next_chunk().await?;
--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::{
-    caller::CallerHead,
+    caller::CallerHeaders,
     context::EntryContext,
     refusal::{Refusal, RefusalCode},
 };
@@ -42,7 +42,7 @@
     }
 
     /// Reads the body whole, or refuses it.
-    pub async fn read(&mut self, head: &CallerHead) -> Result<Bytes, Refusal> {
+    pub async fn read(&mut self, head: &CallerHeaders) -> Result<Bytes, Refusal> {
         let limit = self.limit.count();
         let mut body = Vec::new();
         let mut most = (&mut self.stream).take(limit + 1);
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -30,7 +30,7 @@
 
 /// The headers as they came, with the key digested.
 #[derive(Clone, Debug)]
-pub struct CallerHead {
+pub struct CallerHeaders {
     /// The request.
     pub request: RequestId,
     key: Option<KeyDigest>,
@@ -43,7 +43,7 @@
 
 /// What the headers ask for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CallerWish {
+pub struct RequestOptions {
     /// The digest of the caller's key.
     pub key: KeyDigest,
     /// How long the caller waits.
@@ -55,20 +55,20 @@
 }
 
 #[rocket::async_trait]
-impl<'r> FromRequest<'r> for CallerHead {
+impl<'r> FromRequest<'r> for CallerHeaders {
     type Error = std::convert::Infallible;
 
-    async fn from_request(request: &'r Request<'_>) -> Outcome<CallerHead, Self::Error> {
-        Outcome::Success(CallerHead::of(request))
+    async fn from_request(request: &'r Request<'_>) -> Outcome<CallerHeaders, Self::Error> {
+        Outcome::Success(CallerHeaders::of(request))
     }
 }
 
-impl CallerHead {
+impl CallerHeaders {
     /// The head of `request`.
-    pub fn of(request: &Request<'_>) -> CallerHead {
+    pub fn of(request: &Request<'_>) -> CallerHeaders {
         let header = |name| request.headers().get_one(name).map(String::from);
         let bearer = request.headers().get_one("authorization").and_then(bearer);
-        CallerHead {
+        CallerHeaders {
             request: request_id(request),
             key: bearer.map(KeyDigest::with_key),
             deadline: header("x-deadline-ms"),
@@ -92,11 +92,11 @@
     }
 
     /// What the headers ask for, or why they can't be used.
-    pub fn wish(&self) -> Result<CallerWish, Refusal> {
+    pub fn options(&self) -> Result<RequestOptions, Refusal> {
         let no_key = "expected the header `Authorization: Bearer KEY`";
         let key = self.key.clone();
         let key = key.ok_or_else(|| self.refuse(RefusalCode::InvalidKey, no_key))?;
-        Ok(CallerWish {
+        Ok(RequestOptions {
             key,
             deadline: self.parse_deadline()?,
             priority: self.parse_priority()?,
--- a/crates/entry/src/chat.rs
+++ b/crates/entry/src/chat.rs
@@ -9,9 +9,9 @@
 use serde::Deserialize;
 
 use crate::{
-    answer_body::{AnswerBody, AnswerFormat, AnswerHead, AnswerResponse},
+    answer_body::{AnswerBody, AnswerFormat, AnswerMetadata, AnswerResponse},
     body::CallerBody,
-    caller::CallerHead,
+    caller::CallerHeaders,
     context::EntryContext,
     model_run::{ModelRun, ModelWork},
     refusal::{Refusal, RefusalCode},
@@ -50,7 +50,7 @@
 #[post("/v1/chat/completions", data = "<data>")]
 pub async fn chat(
     context: &State<Arc<EntryContext>>,
-    head: CallerHead,
+    head: CallerHeaders,
     data: Data<'_>,
 ) -> Result<AnswerResponse, Refusal> {
     // Held until the refusal's way is clear: a stopping entry waits for it.
@@ -58,7 +58,7 @@
     let mut body = CallerBody::new(context, data);
     let answer = begin(context.inner(), &head, &mut body).await;
     if let Err(refusal) = &answer {
-        context.refused(refusal);
+        context.note_refusal(refusal);
         body.discard().await;
     }
     answer
@@ -66,7 +66,7 @@
 
 async fn begin(
     context: &Arc<EntryContext>,
-    head: &CallerHead,
+    head: &CallerHeaders,
     body: &mut CallerBody<'_>,
 ) -> Result<AnswerResponse, Refusal> {
     let work_token = context.work.token();
@@ -90,15 +90,15 @@
         let message = "`max_tokens` is 0: expected at least 1";
         return Err(head.refuse(RefusalCode::InvalidRequest, message));
     }
-    let in_flight = context.enter();
+    let in_flight = context.begin_request();
     let prompt = chat.prompt();
     let content = format!("{service}\0{asked}\0{prompt}");
     let work = ModelWork {
         organisation: caller.organisation.clone(),
         model: model.clone(),
         max_tokens: asked.min(*max_tokens),
-        priority: caller.wish.priority.unwrap_or(unit.priority),
-        deadline: context.now() + caller.wish.deadline.unwrap_or(unit.deadline),
+        priority: caller.options.priority.unwrap_or(unit.priority),
+        deadline: context.now() + caller.options.deadline.unwrap_or(unit.deadline),
         progress_limit: unit.progress_limit,
         fingerprint: RequestFingerprint::with_content(&caller.organisation, content.as_bytes()),
         service: service.clone(),
@@ -115,9 +115,9 @@
         .spawn(run.run(gone.clone(), caller.ticket, in_flight));
     let format = match chat.stream {
         true => AnswerFormat::Sse,
-        false => AnswerFormat::Whole,
+        false => AnswerFormat::Json,
     };
-    let answer_head = AnswerHead {
+    let answer_head = AnswerMetadata {
         request: head.request.clone(),
         organisation: caller.organisation,
         service,
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -16,14 +16,14 @@
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
 use crate::{
-    caller::{CallerHead, CallerWish},
+    active_keys::{ActiveKeys, KeyTicket},
+    caller::{CallerHeaders, RequestOptions},
     claims::ClaimBatcher,
-    crash::CrashWatch,
+    crash::CrashTracker,
     directory::{ChosenEndpoint, EndpointDirectory},
     metering::UsageMeter,
     metrics::EntryMetrics,
     refusal::{Refusal, RefusalCode},
-    running::{RunningKeys, RunningTicket},
     settings::EntrySettings,
     traffic::{RouteTicket, TrafficControl, WorkTicket},
     traffic_feed::sync_endpoints,
@@ -46,7 +46,7 @@
     /// What it counts.
     pub metrics: EntryMetrics,
     /// Requests in progress by key.
-    pub keys: RunningKeys,
+    pub keys: ActiveKeys,
     /// Cancelled once no new request is taken.
     pub draining: CancellationToken,
     /// Requests in progress and answers on their way.
@@ -54,7 +54,7 @@
     /// Admission, routing and retry budgets.
     pub traffic: Arc<TrafficControl>,
     /// Requests that may crash endpoints.
-    pub crashes: Arc<CrashWatch>,
+    pub crashes: Arc<CrashTracker>,
 }
 
 /// A request that was let in, until it is dropped.
@@ -65,9 +65,9 @@
     /// The organisation's unit.
     pub unit: OrganisationUnit,
     /// What the headers ask for.
-    pub wish: CallerWish,
+    pub options: RequestOptions,
     /// Cancelled when the key is withdrawn.
-    pub ticket: RunningTicket,
+    pub ticket: KeyTicket,
 }
 
 impl std::fmt::Debug for EntryContext {
@@ -93,7 +93,7 @@
     }
 
     /// Remembers a decision for `bluebell explain`.
-    pub fn decided<Reason>(&self, subjects: &[&str], decision: &str, reason: Reason)
+    pub fn record_decision<Reason>(&self, subjects: &[&str], decision: &str, reason: Reason)
     where
         Reason: Into<String>,
     {
@@ -106,11 +106,11 @@
     }
 
     /// Counts and remembers a refusal on its way out.
-    pub fn refused(&self, refusal: &Refusal) {
-        self.metrics.refused(refusal.code);
+    pub fn note_refusal(&self, refusal: &Refusal) {
+        self.metrics.count_refusal(refusal.code);
         let reason = format!("{}; ran: {}", refusal.message, refusal.ran.as_str());
         let subjects = [refusal.request.as_str()];
-        self.decided(
+        self.record_decision(
             &subjects,
             &format!("refused {}", refusal.code.as_str()),
             reason,
@@ -118,11 +118,11 @@
     }
 
     /// Lets a caller in by its headers, before the body is read.
-    pub fn admit(&self, head: &CallerHead) -> Result<AdmittedCaller, Refusal> {
+    pub fn admit(&self, head: &CallerHeaders) -> Result<AdmittedCaller, Refusal> {
         if self.draining.is_cancelled() {
             return Err(head.refuse(RefusalCode::Draining, "this instance is stopping"));
         }
-        let wish = head.wish()?;
+        let options = head.options()?;
         if !self.node.progress().caught_up {
             let message = "this instance has not read the configuration yet";
             return Err(head.refuse(RefusalCode::NotReady, message));
@@ -130,22 +130,22 @@
         self.check_grace(head)?;
         // The ticket comes before the look at the keys: a withdrawal in between
         // would otherwise find nothing to end, and the request would run on.
-        let ticket = self.keys.enter(&wish.key);
-        let (organisation, unit) = self.organisation(&wish.key).ok_or_else(|| {
+        let ticket = self.keys.register(&options.key);
+        let (organisation, unit) = self.organisation(&options.key).ok_or_else(|| {
             let message = "the key admits no organisation";
             head.refuse(RefusalCode::InvalidKey, message)
         })?;
         Ok(AdmittedCaller {
             organisation,
             unit,
-            wish,
+            options,
             ticket,
         })
     }
 
     /// Refuses everything on an instance that has not heard of the log for longer
     /// than its operators allow: a key may have been withdrawn all that time ago.
-    fn check_grace(&self, head: &CallerHead) -> Result<(), Refusal> {
+    fn check_grace(&self, head: &CallerHeaders) -> Result<(), Refusal> {
         let Some(grace) = self.settings.requests.freshness_grace else {
             return Ok(());
         };
@@ -167,7 +167,7 @@
     /// The service that the caller names, if its organisation may use it.
     pub fn service(
         &self,
-        head: &CallerHead,
+        head: &CallerHeaders,
         caller: &AdmittedCaller,
         name: &str,
     ) -> Result<(ServiceName, ServiceUnit), Refusal> {
@@ -191,7 +191,7 @@
     }
 
     /// Counts a request in progress.
-    pub fn enter(&self) -> InFlightTicket {
+    pub fn begin_request(&self) -> InFlightTicket {
         self.metrics.in_progress.inc();
         InFlightTicket {
             in_progress: self.metrics.in_progress.clone(),
@@ -208,7 +208,7 @@
         let refusal = match self.traffic.admit(ask, limits).await {
             Ok(ticket) => {
                 let subjects = [attempts.request().as_str()];
-                self.decided(&subjects, "started", ticket.reason.clone());
+                self.record_decision(&subjects, "started", ticket.reason.clone());
                 return Ok(ticket);
             }
             Err(refusal) => refusal,
@@ -240,7 +240,7 @@
             return Err(NoRoute::NoEndpoint(ask.pool.clone()));
         };
         let subjects = [ask.request.as_str(), choice.endpoint.as_str()];
-        self.decided(&subjects, "chose endpoint", choice.reason);
+        self.record_decision(&subjects, "chose endpoint", choice.reason);
         Ok(RoutedAttempt {
             chosen,
             ticket,
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -21,7 +21,7 @@
 
 /// The suspects that this entry runs, and those that wait for their turn.
 #[derive(Debug)]
-pub struct CrashWatch {
+pub struct CrashTracker {
     trials: Mutex<CrashTrials>,
     freed: Notify,
 }
@@ -29,7 +29,7 @@
 /// A suspect's run on an endpoint, until it is dropped.
 #[derive(Debug)]
 pub struct TrialTicket {
-    watch: Arc<CrashWatch>,
+    watch: Arc<CrashTracker>,
     endpoint: EndpointId,
 }
 
@@ -40,10 +40,10 @@
     }
 }
 
-impl CrashWatch {
+impl CrashTracker {
     /// No suspect yet.
-    pub fn new(instance: InstanceId) -> CrashWatch {
-        CrashWatch {
+    pub fn new(instance: InstanceId) -> CrashTracker {
+        CrashTracker {
             trials: Mutex::new(CrashTrials::new(instance)),
             freed: Notify::new(),
         }
@@ -86,7 +86,7 @@
 
 impl EntryContext {
     /// What is known of the request's part in crashes.
-    pub fn standing(&self, fingerprint: &RequestFingerprint) -> CrashStatus {
+    pub fn crash_status(&self, fingerprint: &RequestFingerprint) -> CrashStatus {
         let trials = self.crashes.lock();
         self.node
             .with_view(|view| trials.status(&view.quarantine, fingerprint))
@@ -148,7 +148,7 @@
         self.crashes.lock().crashed(fingerprint, site);
         let record = self.crash_record(fingerprint, &chosen.endpoint, incarnation);
         let subjects = [fingerprint.as_str(), chosen.endpoint.as_str()];
-        self.decided(
+        self.record_decision(
             &subjects,
             "suspects the request",
             "it ran when the endpoint crashed",
@@ -166,7 +166,7 @@
         let mut record = self.crash_record(fingerprint, endpoint, 0);
         record.cleared = true;
         let subjects = [fingerprint.as_str(), endpoint.as_str()];
-        self.decided(&subjects, "cleared the request", "it ran to its end");
+        self.record_decision(&subjects, "cleared the request", "it ran to its end");
         let record = LogRecord::Quarantine(record);
         self.node.push_note(&record);
         let _ = self.node.append(record).await;
@@ -174,7 +174,7 @@
 
     /// Takes peers' word of crashes, which comes before the log's and also while
     /// the log is down, until `token` is cancelled.
-    pub async fn hear_crashes(self: Arc<Self>, token: CancellationToken) {
+    pub async fn follow_crash_notes(self: Arc<Self>, token: CancellationToken) {
         let mut notes = self.node.subscribe_notes();
         loop {
             let note = tokio::select! {
--- a/crates/entry/src/delivered.rs
+++ b/crates/entry/src/delivered.rs
@@ -36,7 +36,7 @@
     }
 
     /// Notes that this many tokens are being handed over.
-    pub fn hand_over(&mut self, prompt_tokens: u64, output_tokens: u64) {
+    pub fn note_pending(&mut self, prompt_tokens: u64, output_tokens: u64) {
         let first = !std::mem::replace(&mut self.counted_request, true);
         self.pending.requests += u64::from(first);
         self.pending.prompt_tokens += prompt_tokens;
@@ -44,7 +44,7 @@
     }
 
     /// Counts what was handed over before.
-    pub fn taken(&mut self) {
+    pub fn count_pending(&mut self) {
         let count = std::mem::take(&mut self.pending);
         self.context
             .meter
@@ -62,10 +62,10 @@
 impl MeteredBody {
     /// The body `bytes` of one answer.
     pub fn new(bytes: Bytes, mut ticket: DeliveryTicket) -> MeteredBody {
-        ticket.hand_over(0, 0);
+        ticket.note_pending(0, 0);
         if bytes.is_empty() {
             // Rocket does not read empty bodies.
-            ticket.taken();
+            ticket.count_pending();
         }
         MeteredBody {
             bytes: Cursor::new(bytes),
@@ -84,7 +84,7 @@
         ready!(Pin::new(&mut self.bytes).poll_read(context, buffer))?;
         let at_end = buffer.filled().len() == before && buffer.remaining() > 0;
         if at_end {
-            self.ticket.taken();
+            self.ticket.count_pending();
         }
         Poll::Ready(Ok(()))
     }
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -15,7 +15,7 @@
 
 /// What this entry knows of one endpoint.
 #[derive(Clone, Debug, Serialize)]
-pub struct EndpointSlot {
+pub struct ListedEndpoint {
     /// The platform's word.
     pub listing: EndpointListing,
     /// The engine's state as it was last seen.
@@ -24,7 +24,7 @@
     client: EndpointClient,
 }
 
-impl EndpointSlot {
+impl ListedEndpoint {
     /// The client of the endpoint.
     pub fn client(&self) -> &EndpointClient {
         &self.client
@@ -34,7 +34,7 @@
 /// The endpoints; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointDirectory {
-    slots: Arc<Mutex<BTreeMap<EndpointId, EndpointSlot>>>,
+    slots: Arc<Mutex<BTreeMap<EndpointId, ListedEndpoint>>>,
 }
 
 /// An endpoint that was chosen for an attempt.
@@ -62,8 +62,8 @@
             let known = before.remove(&listing.endpoint);
             let known = known.filter(|slot| slot.listing.address == listing.address);
             let slot = match known {
-                Some(slot) => EndpointSlot { listing, ..slot },
-                None => EndpointSlot {
+                Some(slot) => ListedEndpoint { listing, ..slot },
+                None => ListedEndpoint {
                     client: EndpointClient::new(&listing.address),
                     listing,
                     status: None,
@@ -91,7 +91,7 @@
     }
 
     /// Everything, by id.
-    pub fn slots(&self) -> Vec<EndpointSlot> {
+    pub fn endpoints(&self) -> Vec<ListedEndpoint> {
         let slots = self.slots.lock().expect("no holder panics");
         slots.values().cloned().collect()
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -5,6 +5,7 @@
 //! [`plain_run`]) that sends attempts to endpoints. A model's answer reaches its
 //! caller through [`answer_body`].
 
+pub mod active_keys;
 pub mod answer_body;
 pub mod body;
 pub mod caller;
@@ -20,7 +21,6 @@
 pub mod plain;
 pub mod plain_run;
 pub mod refusal;
-pub mod running;
 pub mod server;
 pub mod settings;
 pub mod traffic;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -59,7 +59,7 @@
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, code: RefusalCode) {
+    pub fn count_refusal(&self, code: RefusalCode) {
         self.ended.with_label_values(&[code.as_str()]).inc();
     }
 }
--- a/crates/entry/src/model_run/attempt.rs
+++ b/crates/entry/src/model_run/attempt.rs
@@ -61,7 +61,7 @@
 
     pub(super) fn route_ended(&mut self, outcome: RouteOutcome) {
         if let Some(ticket) = self.route.take() {
-            ticket.ended(outcome);
+            ticket.set_outcome(outcome);
         }
     }
 
@@ -92,7 +92,7 @@
     pub(super) fn try_elsewhere(&mut self, decision: &str, reason: &str) -> AttemptEnd {
         if let Some(chosen) = self.chosen.take() {
             let subjects = [self.attempts.request().as_str(), chosen.endpoint.as_str()];
-            self.context.decided(&subjects, decision, reason);
+            self.context.record_decision(&subjects, decision, reason);
             self.avoided.insert(chosen.endpoint.clone());
         }
         AttemptEnd::GoOn
@@ -119,7 +119,8 @@
         let probe = chosen.client.probe().await;
         let subjects = [self.attempts.request().as_str(), chosen.endpoint.as_str()];
         let reason = format!("{reason}; probe on a new connection: {probe:?}");
-        self.context.decided(&subjects, "attempt lost", reason);
+        self.context
+            .record_decision(&subjects, "attempt lost", reason);
         chosen.client.discard_connections();
         if self.context.has_crashed(&chosen, probe).await {
             let noted = self.context.note_crash(&self.work.fingerprint, &chosen);
--- a/crates/entry/src/model_run/choice.rs
+++ b/crates/entry/src/model_run/choice.rs
@@ -21,7 +21,7 @@
 impl ModelRun {
     pub(super) async fn choose(&mut self) -> Result<RoutedAttempt, Refusal> {
         self.check_deadline()?;
-        let excluded = match self.context.standing(&self.work.fingerprint) {
+        let excluded = match self.context.crash_status(&self.work.fingerprint) {
             CrashStatus::Clean => self.avoided.union(&self.lossy).cloned().collect(),
             CrashStatus::Suspect => self.wait_for_trial().await?,
             CrashStatus::Quarantined => {
@@ -130,12 +130,14 @@
         let subjects = [subjects[0].as_str(), subjects[1].as_str()];
         match handle {
             Ok(Ok(handle)) => self.import = Some(handle),
-            Ok(Err(error)) => self
-                .context
-                .decided(&subjects, "prefill failed", error.to_string()),
-            Err(_) => self
-                .context
-                .decided(&subjects, "prefill failed", "nothing came in time"),
+            Ok(Err(error)) => {
+                self.context
+                    .record_decision(&subjects, "prefill failed", error.to_string())
+            }
+            Err(_) => {
+                self.context
+                    .record_decision(&subjects, "prefill failed", "nothing came in time")
+            }
         }
         Ok(())
     }
--- a/crates/entry/src/model_run/items.rs
+++ b/crates/entry/src/model_run/items.rs
@@ -98,7 +98,7 @@
             let seconds = waited.as_duration().as_secs_f64();
             self.context.metrics.first_token.observe(seconds);
             if let Some(ticket) = &self.route {
-                ticket.first_token();
+                ticket.note_first_token();
             }
         }
         let _ = self.events.send(AnswerEvent::Token(text)).await;
--- a/crates/entry/src/model_run/mod.rs
+++ b/crates/entry/src/model_run/mod.rs
@@ -26,11 +26,11 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
+    active_keys::KeyTicket,
     context::{EntryContext, InFlightTicket},
     crash::TrialTicket,
     directory::ChosenEndpoint,
     refusal::{Refusal, RefusalCode},
-    running::RunningTicket,
     traffic::{RouteTicket, WorkTicket},
 };
 
@@ -163,13 +163,13 @@
     pub async fn run(
         mut self,
         gone: CancellationToken,
-        ticket: RunningTicket,
+        ticket: KeyTicket,
         in_flight: InFlightTicket,
     ) {
         let end = tokio::select! {
             biased;
             () = gone.cancelled() => None,
-            () = ticket.lost().cancelled() => {
+            () = ticket.withdrawn().cancelled() => {
                 let message = "the key was withdrawn";
                 Some(Err(self.refusal(RefusalCode::KeyWithdrawn, message)))
             }
@@ -190,7 +190,7 @@
                 let _ = self.events.send(AnswerEvent::End(end)).await;
             }
             Some(Err(refusal)) => {
-                self.context.refused(&refusal);
+                self.context.note_refusal(&refusal);
                 let _ = self.events.send(AnswerEvent::Failed(refusal)).await;
             }
         }
@@ -209,7 +209,8 @@
             "the caller has gone after {} tokens",
             self.answer.tokens().len()
         );
-        self.context.decided(&[request], "cancelled", reason);
+        self.context
+            .record_decision(&[request], "cancelled", reason);
     }
 
     /// Tells the engine of the attempt under way, if there is one, that nobody
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     body::CallerBody,
-    caller::CallerHead,
+    caller::CallerHeaders,
     context::EntryContext,
     delivered::{DeliveryTicket, MeteredBody},
     metering::UsageOwner,
@@ -39,14 +39,14 @@
         let Some(context) = request.rocket().state::<Arc<EntryContext>>() else {
             return Outcome::error(Status::InternalServerError);
         };
-        let head = CallerHead::of(request);
+        let head = CallerHeaders::of(request);
         // Held until the refusal's way is clear: a stopping entry waits for it.
         let _work = context.work.token();
         let mut body = CallerBody::new(context, data);
         match call(context, &head, request, &mut body).await {
             Ok(metered) => Outcome::Success(respond(metered)),
             Err(refusal) => {
-                context.refused(&refusal);
+                context.note_refusal(&refusal);
                 body.discard().await;
                 Outcome::from(request, refusal)
             }
@@ -91,7 +91,7 @@
     /// The target of `request`. A path with dot segments is refused: it would
     /// reach the endpoint as another path than the one that the rules were asked
     /// about, and a charge could pass for a lookup that may be repeated.
-    fn of(head: &CallerHead, request: &Request<'_>) -> Result<CallTarget, Refusal> {
+    fn of(head: &CallerHeaders, request: &Request<'_>) -> Result<CallTarget, Refusal> {
         let whole = request.uri().path().as_str();
         let below = whole.strip_prefix(PREFIX).unwrap_or_default();
         let (service, path) = below.split_once('/').unwrap_or((below, ""));
@@ -119,7 +119,7 @@
 
 async fn call(
     context: &Arc<EntryContext>,
-    head: &CallerHead,
+    head: &CallerHeaders,
     request: &Request<'_>,
     body: &mut CallerBody<'_>,
 ) -> Result<MeteredAnswer, Refusal> {
@@ -140,24 +140,24 @@
         true => WorkKind::Repeatable,
         false => WorkKind::AtMostOnce,
     };
-    let in_flight = context.enter();
+    let in_flight = context.begin_request();
     let mut content = format!("{service}\0{method}\0{}\0", target.path_and_query).into_bytes();
     content.extend_from_slice(&body);
     let work = PlainWork {
         organisation: caller.organisation.clone(),
         kind,
-        deadline: context.now() + caller.wish.deadline.unwrap_or(unit.deadline),
+        deadline: context.now() + caller.options.deadline.unwrap_or(unit.deadline),
         progress_limit: unit.progress_limit,
         fingerprint: RequestFingerprint::with_content(&caller.organisation, &content),
         service: service.clone(),
-        priority: caller.wish.priority.unwrap_or(unit.priority),
+        priority: caller.options.priority.unwrap_or(unit.priority),
         preemptible: unit.preemptible,
         limits: caller.limits(),
         call: PlainCall {
             method: method.to_string(),
             path: target.path_and_query,
             content_type: head.content_type.clone(),
-            idempotency_key: caller.wish.idempotency_key.clone(),
+            idempotency_key: caller.options.idempotency_key.clone(),
             body,
         },
     };
--- a/crates/entry/src/plain_run/attempt.rs
+++ b/crates/entry/src/plain_run/attempt.rs
@@ -62,15 +62,15 @@
         self.context.metrics.attempts.inc();
         let error = match self.call(&chosen, &permit).await {
             Ok(answer) => {
-                ticket.ended(RouteOutcome::Answered);
+                ticket.set_outcome(RouteOutcome::Answered);
                 return Ok(CallEnd::Answered(answer));
             }
             Err(error) => error,
         };
-        ticket.ended(RouteOutcome::Failed);
+        ticket.set_outcome(RouteOutcome::Failed);
         let subjects = [permit.request().as_str(), chosen.endpoint.as_str()];
         self.context
-            .decided(&subjects, "attempt failed", error.to_string());
+            .record_decision(&subjects, "attempt failed", error.to_string());
         if matches!(error, EndpointError::NotSent(_)) {
             self.change(|attempts| attempts.not_sent(permit));
             return Ok(CallEnd::Failed);
--- a/crates/entry/src/plain_run/claim.rs
+++ b/crates/entry/src/plain_run/claim.rs
@@ -87,7 +87,7 @@
     ) -> Result<Option<CallAnswer>, Refusal> {
         let request = self.change(|attempts| attempts.request().to_string());
         self.context
-            .decided(&[&request], "read the claim", format!("{verdict:?}"));
+            .record_decision(&[&request], "read the claim", format!("{verdict:?}"));
         match verdict {
             ClaimVerdict::Mine => Ok(None),
             ClaimVerdict::Recorded(result) => match replay(result) {
--- a/crates/entry/src/plain_run/mod.rs
+++ b/crates/entry/src/plain_run/mod.rs
@@ -29,9 +29,9 @@
     claim::claim_of,
 };
 use crate::{
+    active_keys::KeyTicket,
     context::{EntryContext, InFlightTicket},
     refusal::{Refusal, RefusalCode},
-    running::RunningTicket,
 };
 
 /// How long the answer to a call is waited for after its caller was told that
@@ -100,7 +100,7 @@
     /// Runs the call and answers its caller.
     pub async fn answer(
         self,
-        ticket: RunningTicket,
+        ticket: KeyTicket,
         in_flight: InFlightTicket,
     ) -> Result<CallAnswer, Refusal> {
         let (reply, answer) = oneshot::channel();
@@ -113,7 +113,7 @@
 
     async fn run(
         self,
-        ticket: RunningTicket,
+        ticket: KeyTicket,
         in_flight: InFlightTicket,
         reply: oneshot::Sender<Result<CallAnswer, Refusal>>,
     ) {
@@ -121,7 +121,7 @@
         let mut work = Box::pin(self.work());
         let interruption = tokio::select! {
             biased;
-            () = ticket.lost().cancelled() => (RefusalCode::KeyWithdrawn, "the key was withdrawn"),
+            () = ticket.withdrawn().cancelled() => (RefusalCode::KeyWithdrawn, "the key was withdrawn"),
             () = tokio::time::sleep(left.as_duration()) => {
                 (RefusalCode::DeadlineExceeded, "the answer was not there before the deadline")
             }
@@ -203,7 +203,7 @@
     }
 
     fn check_quarantine(&self) -> Result<(), Refusal> {
-        if self.context.standing(&self.work.fingerprint) != CrashStatus::Quarantined {
+        if self.context.crash_status(&self.work.fingerprint) != CrashStatus::Quarantined {
             return Ok(());
         }
         let message = "the request crashed endpoints and is not run again";
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -32,17 +32,17 @@
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
 use crate::{
-    caller::{CallerHead, request_id},
+    active_keys::ActiveKeys,
+    caller::{CallerHeaders, request_id},
     chat,
     claims::ClaimBatcher,
     context::EntryContext,
-    crash::CrashWatch,
+    crash::CrashTracker,
     directory::EndpointDirectory,
     metering::UsageMeter,
     metrics::EntryMetrics,
     plain,
     refusal::{Refusal, RefusalCode},
-    running::RunningKeys,
     settings::EntrySettings,
     traffic::TrafficControl,
     traffic_feed,
@@ -97,7 +97,7 @@
         rand::random(),
     );
     let traffic = Arc::new(traffic);
-    let crashes = Arc::new(CrashWatch::new(settings.node.instance.clone()));
+    let crashes = Arc::new(CrashTracker::new(settings.node.instance.clone()));
     let context = Arc::new(EntryContext {
         claims,
         meter,
@@ -105,7 +105,7 @@
         node,
         journal: DecisionJournal::new(),
         metrics,
-        keys: RunningKeys::new(),
+        keys: ActiveKeys::new(),
         draining: CancellationToken::new(),
         work: TaskTracker::new(),
         traffic,
@@ -137,9 +137,9 @@
     let directory = context.directory.clone();
     let node = context.node.clone();
     tokio::spawn(directory.follow(node.clone(), interval, token.clone()));
-    tokio::spawn(context.clone().hear_crashes(token.clone()));
+    tokio::spawn(context.clone().follow_crash_notes(token.clone()));
     tokio::spawn(traffic_feed::run(context.clone(), token.clone()));
-    tokio::spawn(traffic_feed::watch_engines(context.clone(), token.clone()));
+    tokio::spawn(traffic_feed::poll_engines(context.clone(), token.clone()));
     tokio::spawn(context.keys.clone().follow(node.clone(), token.clone()));
     let interval = context.settings.metering.flush_interval;
     tokio::spawn(context.meter.clone().run(node, interval, token.clone()));
@@ -177,7 +177,7 @@
 
 #[catch(default)]
 fn default_catcher(status: Status, request: &Request<'_>) -> Refusal {
-    let head = CallerHead::of(request);
+    let head = CallerHeaders::of(request);
     match status.code {
         404 | 405 => {
             let message = "no such route: see `/v1/chat/completions` and `/v1/services/…`";
@@ -210,7 +210,7 @@
         "in_progress": context.metrics.in_progress.get(),
         "routes": context.traffic.routes(),
         "pools": context.traffic.status(),
-        "endpoints": context.directory.slots(),
+        "endpoints": context.directory.endpoints(),
         "view": view.unwrap_or_else(|error| json!({"error": error.to_string()})),
     })
 }
--- a/crates/entry/src/traffic.rs
+++ b/crates/entry/src/traffic.rs
@@ -142,12 +142,12 @@
 
 impl RouteTicket {
     /// Says how the attempt ended; without this it counts as cancelled.
-    pub fn ended(mut self, outcome: RouteOutcome) {
+    pub fn set_outcome(mut self, outcome: RouteOutcome) {
         self.outcome = outcome;
     }
 
     /// Notes that the first token came.
-    pub fn first_token(&self) {
+    pub fn note_first_token(&self) {
         let now = self.traffic.clock.now();
         let mut state = self.traffic.lock();
         state.router.note_first_token(now, &self.request);
--- a/crates/entry/src/traffic_feed.rs
+++ b/crates/entry/src/traffic_feed.rs
@@ -21,7 +21,7 @@
 use tokio::sync::broadcast::error::RecvError;
 use tokio_util::sync::CancellationToken;
 
-use crate::{context::EntryContext, directory::EndpointSlot, traffic::TrafficState};
+use crate::{context::EntryContext, directory::ListedEndpoint, traffic::TrafficState};
 
 /// How often time passes for the slices and peers are told and heard.
 const TICK: TimeSpan = TimeSpan::from_millis(50);
@@ -76,7 +76,7 @@
 }
 
 /// The pool that an endpoint belongs to.
-pub fn pool_of(slot: &EndpointSlot) -> RoutePool {
+pub fn endpoint_pool(slot: &ListedEndpoint) -> RoutePool {
     // The list may still name the model that the engine had before an order.
     let loaded = slot.status.as_ref().map(|status| &status.model);
     match loaded.or(slot.listing.model.as_ref()) {
@@ -87,7 +87,7 @@
 
 /// Tells the router of the endpoints as they are listed and marked.
 pub fn sync_endpoints(context: &EntryContext) {
-    let slots = context.directory.slots();
+    let slots = context.directory.endpoints();
     let leaving: BTreeSet<_> = context.node.with_view(|view| {
         let ids = slots.iter().map(|slot| &slot.listing.endpoint);
         ids.filter(|id| view.marks.is_leaving(id))
@@ -104,7 +104,7 @@
     for slot in &slots {
         let entry = EndpointEntry {
             endpoint: slot.listing.endpoint.clone(),
-            pool: pool_of(slot),
+            pool: endpoint_pool(slot),
             failure_domain: slot.listing.failure_domain.clone(),
             capacity: slot.listing.capacity,
             role: slot.status.as_ref().map_or(EngineRole::Mixed, |s| s.role),
@@ -117,7 +117,12 @@
 }
 
 fn set_capacities(context: &EntryContext, entries: u32) {
-    let pools: BTreeSet<RoutePool> = context.directory.slots().iter().map(pool_of).collect();
+    let pools: BTreeSet<RoutePool> = context
+        .directory
+        .endpoints()
+        .iter()
+        .map(endpoint_pool)
+        .collect();
     let settings = &context.settings.traffic;
     let now = context.now();
     let mut state = context.traffic.lock();
@@ -257,10 +262,10 @@
 }
 
 /// Looks at the engines' states and load reports until `token` is cancelled.
-pub async fn watch_engines(context: Arc<EntryContext>, token: CancellationToken) {
+pub async fn poll_engines(context: Arc<EntryContext>, token: CancellationToken) {
     let interval = context.settings.requests.list_interval;
     loop {
-        let slots = context.directory.slots();
+        let slots = context.directory.endpoints();
         let engines = slots.iter().filter(|slot| slot.listing.model.is_some());
         let looks = engines.map(|slot| look(&context, slot));
         futures::future::join_all(looks).await;
@@ -271,7 +276,7 @@
     }
 }
 
-async fn look(context: &EntryContext, slot: &EndpointSlot) {
+async fn look(context: &EntryContext, slot: &ListedEndpoint) {
     let endpoint = &slot.listing.endpoint;
     if let Ok(status) = slot.client().state().await {
         context.directory.note_status(endpoint, status);
