--- a/crates/core/src/claims/mod.rs
+++ b/crates/core/src/claims/mod.rs
@@ -1,18 +1,20 @@
-//! Idempotency keys: the first claim in the log's order may send.
+//! Idempotency keys: only the request with the first claim in the log is sent to
+//! an endpoint.
 //!
-//! A caller whose charge brought no answer sends it again, to another entry and
-//! perhaps at the same time. If both entries sent it on, the customer would pay
+//! A caller that gets no answer to a charge sends it again, to another entry and
+//! perhaps at the same time. If both entries forwarded it, the customer would pay
 //! twice. So an entry first appends a claim of the caller's idempotency key, and
-//! sends only if it reads its own claim back as the standing one. All readers
-//! fold the same log, so of any number of claims exactly one stands.
+//! forwards the request only if it reads its own claim back as the active one. All
+//! readers apply the same log, so exactly one of several claims becomes active.
 //!
-//! A claim without a settlement stays: its holder may have been killed before or
-//! after it sent, and nobody can tell which. Repeats get "unknown" for as long
-//! as the claim is kept. Only a settlement that says "not run" frees the key.
+//! A claim without a settlement stays active: the entry may have been killed before
+//! or after it forwarded the request, and there is no way to find out which.
+//! Repeats get the answer "unknown" for as long as the claim is kept. Only a
+//! settlement with the result "not run" frees the key.
 //!
-//! An organisation's last [`MAX_CLAIMS_PER_ORGANISATION`] claims are kept, by their place in the
-//! log and not by time: log entries carry no time that all readers agree on. A
-//! key that is sent again after so many newer ones is taken for a new one.
+//! The last [`MAX_CLAIMS_PER_ORGANISATION`] claims of an organisation are kept, by
+//! log offset and not by time: log entries carry no time that all readers agree on.
+//! A key that is repeated after that many newer claims is treated as a new key.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,32 +29,32 @@
     },
 };
 
-/// How many claims of one organisation are kept.
+/// Maximum number of claims that are kept for one organisation.
 pub const MAX_CLAIMS_PER_ORGANISATION: usize = 4_096;
 
-/// A claim that stands.
+/// The active claim of a key: the first one since the key was free.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ActiveClaim {
     /// The claim.
     pub claim: IdempotencyClaim,
-    /// Where it stands.
+    /// The offset of the claim.
     pub offset: LogOffset,
-    /// What became of the action, if that is known.
+    /// The result of the action; `None` until it has been settled.
     pub result: Option<SettledResult>,
 }
 
-/// What a request that came with an idempotency key may do.
+/// How a request with an idempotency key is to be handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// Nobody has claimed the key.
+    /// The key has no active claim.
     Free,
-    /// The request's own claim stands: it may send.
+    /// The request's own claim is active: the request may be sent.
     Mine,
-    /// An earlier request ran; this is what it brought.
+    /// An earlier request ran, with this result.
     Recorded(SettledResult),
-    /// An earlier request may have run, or is running.
+    /// An earlier request may have run, or is still running.
     Unknown,
-    /// The key stands for a request that asked for something else.
+    /// The key was claimed by a request with different content.
     OtherContent,
 }
 
@@ -63,11 +65,11 @@
 }
 
 impl OrganisationClaims {
-    fn put(&mut self, standing: ActiveClaim) {
-        let key = standing.claim.key.clone();
-        self.by_age.insert((standing.offset, key.clone()));
-        if let Some(before) = self.claims.insert(key.clone(), standing) {
-            self.by_age.remove(&(before.offset, key));
+    fn insert(&mut self, active: ActiveClaim) {
+        let key = active.claim.key.clone();
+        self.by_age.insert((active.offset, key.clone()));
+        if let Some(replaced) = self.claims.insert(key.clone(), active) {
+            self.by_age.remove(&(replaced.offset, key));
         }
         while self.claims.len() > MAX_CLAIMS_PER_ORGANISATION {
             let Some((_, oldest)) = self.by_age.pop_first() else {
@@ -78,26 +80,26 @@
     }
 }
 
-/// The claims that the log knows of.
+/// The active claims of all organisations, as recorded in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ClaimState {
     organisations: BTreeMap<OrganisationId, OrganisationClaims>,
 }
 
 impl ClaimState {
-    /// Nothing read yet.
+    /// Creates the state before the first record of the log.
     pub fn new() -> ClaimState {
         ClaimState::default()
     }
 
-    /// Applies claims read at `offset`.
+    /// Applies claims read at `offset`; claims of keys that are not free are ignored.
     pub fn claim(&mut self, _now: ClockTime, offset: LogOffset, batch: &ClaimBatch) {
         for claim in &batch.claims {
             if !self.is_free(&claim.organisation, &claim.key) {
                 continue;
             }
             let organisation = self.organisations.entry(claim.organisation.clone());
-            organisation.or_default().put(ActiveClaim {
+            organisation.or_default().insert(ActiveClaim {
                 claim: claim.clone(),
                 offset,
                 result: None,
@@ -105,28 +107,28 @@
         }
     }
 
-    /// Applies settlements. Only the request whose claim stands can settle it, and
-    /// what is known to have run or not does not change any more.
+    /// Applies settlements. Only the request with the active claim can settle it, and
+    /// a result of "answered" or "not run" is final.
     pub fn settle(&mut self, _now: ClockTime, _offset: LogOffset, batch: &SettlementBatch) {
         for settlement in &batch.settlements {
             let organisation = self.organisations.get_mut(&settlement.organisation);
             let claims = organisation.map(|organisation| &mut organisation.claims);
-            let Some(standing) = claims.and_then(|claims| claims.get_mut(&settlement.key)) else {
+            let Some(active) = claims.and_then(|claims| claims.get_mut(&settlement.key)) else {
                 continue;
             };
-            if standing.claim.request == settlement.request && may_settle(standing, settlement) {
-                standing.result = Some(settlement.result.clone());
+            if active.claim.request == settlement.request && may_settle(active, settlement) {
+                active.result = Some(settlement.result.clone());
             }
         }
     }
 
     fn is_free(&self, organisation: &OrganisationId, key: &IdempotencyKey) -> bool {
-        self.standing(organisation, key)
-            .is_none_or(|standing| standing.result == Some(SettledResult::NotRun))
+        self.active_claim(organisation, key)
+            .is_none_or(|active| active.result == Some(SettledResult::NotRun))
     }
 
-    /// The claim of `key` that stands.
-    pub fn standing(
+    /// The active claim of `key`.
+    pub fn active_claim(
         &self,
         organisation: &OrganisationId,
         key: &IdempotencyKey,
@@ -134,7 +136,7 @@
         self.organisations.get(organisation)?.claims.get(key)
     }
 
-    /// What `request`, which asks for what `fingerprint` says, may do.
+    /// How `request` with the content `fingerprint` is to be handled.
     pub fn verdict(
         &self,
         organisation: &OrganisationId,
@@ -142,14 +144,14 @@
         request: &RequestId,
         fingerprint: &RequestFingerprint,
     ) -> ClaimVerdict {
-        let Some(standing) = self.standing(organisation, key) else {
+        let Some(active) = self.active_claim(organisation, key) else {
             return ClaimVerdict::Free;
         };
-        let mine = standing.claim.request == *request;
-        match &standing.result {
+        let is_own = active.claim.request == *request;
+        match &active.result {
             Some(SettledResult::NotRun) => ClaimVerdict::Free,
-            None if mine => ClaimVerdict::Mine,
-            _ if standing.claim.fingerprint != *fingerprint => ClaimVerdict::OtherContent,
+            None if is_own => ClaimVerdict::Mine,
+            _ if active.claim.fingerprint != *fingerprint => ClaimVerdict::OtherContent,
             Some(answered @ SettledResult::Answered { .. }) => {
                 ClaimVerdict::Recorded(answered.clone())
             }
@@ -157,7 +159,7 @@
         }
     }
 
-    /// How many claims are kept.
+    /// The number of claims that are kept.
     pub fn len(&self) -> usize {
         let claims = self.organisations.values();
         claims.map(|organisation| organisation.claims.len()).sum()
@@ -168,17 +170,18 @@
         self.len() == 0
     }
 
-    /// The claims as items of a checkpoint, each organisation's oldest first.
+    /// Returns the claims as checkpoint items, each organisation's oldest first.
     pub fn checkpoint(&self) -> Vec<CheckpointItem> {
         let organisations = self.organisations.values();
-        let standing = organisations.flat_map(|organisation| {
-            let ages = organisation.by_age.iter();
-            ages.filter_map(|(_, key)| organisation.claims.get(key))
+        let active_claims = organisations.flat_map(|organisation| {
+            let keys_by_age = organisation.by_age.iter();
+            keys_by_age.filter_map(|(_, key)| organisation.claims.get(key))
         });
-        standing.map(checkpoint_item).collect()
+        active_claims.map(checkpoint_item).collect()
     }
 
-    /// Takes over an item of a checkpoint. A claim that is known stays as it is.
+    /// Restores a claim from a checkpoint item; ignores items of other kinds. An
+    /// active claim of the same key is kept unchanged.
     pub fn restore(&mut self, _now: ClockTime, item: &CheckpointItem) {
         let CheckpointItem::Claim {
             claim,
@@ -188,11 +191,11 @@
         else {
             return;
         };
-        if self.standing(&claim.organisation, &claim.key).is_some() {
+        if self.active_claim(&claim.organisation, &claim.key).is_some() {
             return;
         }
         let organisation = self.organisations.entry(claim.organisation.clone());
-        organisation.or_default().put(ActiveClaim {
+        organisation.or_default().insert(ActiveClaim {
             claim: claim.clone(),
             offset: *offset,
             result: settlement.as_ref().map(|settled| settled.result.clone()),
@@ -200,8 +203,8 @@
     }
 }
 
-fn may_settle(standing: &ActiveClaim, settlement: &ClaimSettlement) -> bool {
-    match standing.result {
+fn may_settle(active: &ActiveClaim, settlement: &ClaimSettlement) -> bool {
+    match active.result {
         None => true,
         Some(SettledResult::Unknown) => {
             matches!(settlement.result, SettledResult::Answered { .. })
@@ -210,9 +213,9 @@
     }
 }
 
-fn checkpoint_item(standing: &ActiveClaim) -> CheckpointItem {
-    let claim = standing.claim.clone();
-    let settlement = standing.result.clone().map(|result| ClaimSettlement {
+fn checkpoint_item(active: &ActiveClaim) -> CheckpointItem {
+    let claim = active.claim.clone();
+    let settlement = active.result.clone().map(|result| ClaimSettlement {
         organisation: claim.organisation.clone(),
         key: claim.key.clone(),
         request: claim.request.clone(),
@@ -220,7 +223,7 @@
     });
     CheckpointItem::Claim {
         claim,
-        offset: standing.offset,
+        offset: active.offset,
         settlement,
     }
 }
--- a/crates/core/src/draining/mod.rs
+++ b/crates/core/src/draining/mod.rs
@@ -1,8 +1,8 @@
-//! Endpoints that are about to leave and get no new work.
+//! Drain marks: endpoints that are about to leave and get no new requests.
 //!
-//! A mark counts only under the fencing number of the duty that sets it, and
-//! while one duty's mark stands no other duty can change it: so the fleet never
-//! stops an engine whose role the engines' duty is about to change.
+//! A mark is valid only under the current fencing number of the duty that sets it,
+//! and no other duty can change it while it is in force. So the `fleet` duty never
+//! stops an engine whose role the `engines` duty is about to change.
 
 mod progress;
 
@@ -16,49 +16,49 @@
     records::{CheckpointItem, DrainMarkRecord, DutyName, MarkState},
 };
 
-/// A leaving endpoint.
+/// The drain mark of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct DrainMark {
     /// The duty that set the mark.
     pub duty: DutyName,
     /// The fencing number under which it was set.
     pub fence: LogOffset,
-    /// Where the mark stands: once every entry has applied it, none chooses the
+    /// The offset of the mark. Once every entry has applied it, no entry selects the
     /// endpoint any more.
     pub offset: LogOffset,
-    /// When this reader read it.
+    /// When this process read the mark, on its own clock.
     pub read_at: ClockTime,
 }
 
-/// The endpoints that are leaving.
+/// The drain marks in force, by endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct DrainMarks {
     marks: BTreeMap<EndpointId, DrainMark>,
 }
 
 impl DrainMarks {
-    /// Nothing read yet.
+    /// Creates the state before the first record of the log.
     pub fn new() -> DrainMarks {
         DrainMarks::default()
     }
 
-    /// The endpoint's mark, if it is leaving.
+    /// The drain mark of `endpoint`.
     pub fn mark(&self, endpoint: &EndpointId) -> Option<&DrainMark> {
         self.marks.get(endpoint)
     }
 
-    /// Whether the endpoint gets no new work.
+    /// Whether the endpoint is draining and gets no new requests.
     pub fn is_draining(&self, endpoint: &EndpointId) -> bool {
         self.marks.contains_key(endpoint)
     }
 
-    /// All marks.
+    /// All marks, by endpoint.
     pub fn iter(&self) -> impl Iterator<Item = (&EndpointId, &DrainMark)> {
         self.marks.iter()
     }
 
-    /// Applies a record read at `offset` at the reader's time `now`. A second
-    /// mark of a leaving endpoint changes nothing, also not its offset.
+    /// Applies a record read at `offset` at the time `now` of the reader's clock. A
+    /// second mark of a draining endpoint has no effect: the first offset is kept.
     pub fn apply(
         &mut self,
         now: ClockTime,
@@ -69,10 +69,10 @@
         if !leases.is_current(&record.duty, record.fence) {
             return;
         }
-        let foreign = self
+        let is_other_duty = self
             .mark(&record.endpoint)
             .is_some_and(|mark| mark.duty != record.duty);
-        if foreign {
+        if is_other_duty {
             return;
         }
         match record.state {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The marks as items of a checkpoint.
+    /// Returns the marks as checkpoint items.
     pub fn checkpoint(&self) -> Vec<CheckpointItem> {
         let item = |(endpoint, mark): (&EndpointId, &DrainMark)| CheckpointItem::Mark {
             mark: DrainMarkRecord {
@@ -105,7 +105,7 @@
         self.marks.iter().map(item).collect()
     }
 
-    /// Takes over an item of a checkpoint.
+    /// Restores a mark from a checkpoint item; ignores items of other kinds.
     pub fn restore(&mut self, now: ClockTime, item: &CheckpointItem) {
         let CheckpointItem::Mark { mark, offset } = item else {
             return;
--- a/crates/core/src/draining/progress.rs
+++ b/crates/core/src/draining/progress.rs
@@ -1,68 +1,69 @@
-//! When a leaving endpoint may be given the order that takes it away.
+//! Decides when a draining endpoint is empty and may be changed or stopped.
 //!
-//! A request is cut if the order reaches an endpoint that still runs work, or
-//! that an entry which has not yet read the mark is about to send work to. So
-//! two things must be seen, in this order: every live entry has applied the
-//! mark, and afterwards the endpoint says itself that nothing is in flight.
+//! A request is aborted if the order reaches an endpoint that still runs it, or if an
+//! entry that has not yet read the drain mark is about to send it there. So two
+//! conditions must be met, in this order: every live entry has applied the mark, and
+//! afterwards the endpoint itself reports that no request is in flight.
 
 use crate::{
     clock::{ClockTime, TimeSpan},
     ids::{EndpointId, InstanceId, LogOffset},
 };
 
-/// How far an entry has read the log, as last heard.
+/// How far an entry has read the log, by its last report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryProgress {
     /// The entry.
     pub instance: InstanceId,
-    /// The offset of the next entry it applies; none if it can't be reached.
+    /// The offset of the next log entry that it applies; `None` if it is unreachable.
     pub next: Option<LogOffset>,
 }
 
-/// How long draining waits for what it can't see.
+/// How long a drain waits for entries and requests that can't be observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainTiming {
-    /// How long an entry that can't be reached is waited for. It is at least the
-    /// time after which an entry that hears nothing of the log takes endpoints
-    /// for leaving by their listing alone.
+    /// How long the drain waits for an unreachable entry. It is at least the time after
+    /// which an entry without access to the log detects leaving endpoints by the
+    /// platform's list alone.
     pub unreachable_timeout: TimeSpan,
-    /// How long a request may be on its way that an entry sent just before it
-    /// read the mark.
+    /// How long a request may be in transit that an entry sent just before it read the
+    /// mark.
     pub transit_time: TimeSpan,
 }
 
-/// Where draining stands.
+/// The state of a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 pub enum DrainState {
-    /// Entries may still choose the endpoint.
+    /// Entries may still select the endpoint.
     #[serde(rename = "Telling")]
     AwaitingEntries,
-    /// No entry chooses it any more; work may still be in flight there.
+    /// No entry selects the endpoint any more; requests may still be in flight there.
     #[serde(rename = "Emptying")]
     AwaitingCompletion,
-    /// It was seen empty after the last entry had been told.
+    /// The endpoint reported no requests after the last entry had applied the mark.
     Empty,
 }
 
-/// The draining of one endpoint, watched by the holder of a duty.
+/// The drain of one endpoint, as followed by the holder of a duty.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct DrainProgress {
     endpoint: EndpointId,
     mark: LogOffset,
     marked_at: ClockTime,
-    /// From when on an empty endpoint stays empty.
-    told_at: Option<ClockTime>,
+    /// The time from which on an empty endpoint stays empty.
+    #[serde(rename = "told_at")]
+    unselected_since: Option<ClockTime>,
     empty: bool,
 }
 
 impl DrainProgress {
-    /// Starts watching at `now`: the mark at `mark` has just been read.
+    /// Starts following the drain at `now`, when the mark at the offset `mark` was read.
     pub fn new(endpoint: EndpointId, mark: LogOffset, now: ClockTime) -> DrainProgress {
         DrainProgress {
             endpoint,
             mark,
             marked_at: now,
-            told_at: None,
+            unselected_since: None,
             empty: false,
         }
     }
@@ -72,35 +73,40 @@
         self.mark
     }
 
-    /// Takes what is known of the entries. One that lags behind the mark is
-    /// waited for without limit, because it is alive and may send work; one that
-    /// can't be reached only up to the bound, because its last word may be that
-    /// it was killed.
-    pub fn note_entries(&mut self, now: ClockTime, entries: &[EntryProgress], rule: &DrainTiming) {
-        if self.told_at.is_some() {
+    /// Records how far the entries have read the log. The drain waits without limit for
+    /// an entry that lags behind the mark, because it is alive and may send requests. It
+    /// waits for an unreachable entry only up to `unreachable_timeout`, because that
+    /// entry may have been killed.
+    pub fn note_entries(
+        &mut self,
+        now: ClockTime,
+        entries: &[EntryProgress],
+        timing: &DrainTiming,
+    ) {
+        if self.unselected_since.is_some() {
             return;
         }
-        let bound_passed = now >= self.marked_at + rule.unreachable_timeout;
-        let told = |entry: &EntryProgress| match entry.next {
+        let timeout_passed = now >= self.marked_at + timing.unreachable_timeout;
+        let has_applied_mark = |entry: &EntryProgress| match entry.next {
             Some(next) => next > self.mark,
-            None => bound_passed,
+            None => timeout_passed,
         };
-        if entries.iter().all(told) {
-            self.told_at = Some(now + rule.transit_time);
+        if entries.iter().all(has_applied_mark) {
+            self.unselected_since = Some(now + timing.transit_time);
         }
     }
 
-    /// Takes what the endpoint said of its work in flight in answer to a question
-    /// asked at `asked_at`. Only an answer to a question asked after all entries
-    /// had been told counts; a busy answer takes an earlier empty one back.
+    /// Records the number of requests in flight at the endpoint, from a query sent at
+    /// `asked_at`. Queries sent before all entries had applied the mark are not counted;
+    /// a non-zero number revokes an earlier zero.
     pub fn note_endpoint(&mut self, asked_at: ClockTime, in_flight: u64) {
-        let told = self.told_at.is_some_and(|told_at| asked_at >= told_at);
-        self.empty = told && in_flight == 0;
+        let is_valid = self.unselected_since.is_some_and(|since| asked_at >= since);
+        self.empty = is_valid && in_flight == 0;
     }
 
-    /// Where it stands.
+    /// The state of the drain.
     pub fn state(&self) -> DrainState {
-        match (self.told_at, self.empty) {
+        match (self.unselected_since, self.empty) {
             (None, _) => DrainState::AwaitingEntries,
             (Some(_), false) => DrainState::AwaitingCompletion,
             (Some(_), true) => DrainState::Empty,
--- a/crates/core/src/orders/change.rs
+++ b/crates/core/src/orders/change.rs
@@ -1,5 +1,5 @@
-//! A planned change of one endpoint: no new work, empty, then the order, then
-//! work again.
+//! A planned change of one endpoint: the endpoint is drained before the order is
+//! sent, and receives requests again afterwards.
 
 use super::{OrderRun, OrderState, OrderStep};
 use crate::{
@@ -10,64 +10,65 @@
     records::{DrainMarkRecord, MarkState, OrderBody},
 };
 
-/// What the holder of the duty has to do next for a change.
+/// The next action for a change, to be taken by the holder of the duty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeStep {
-    /// Append the mark and wait until it has been read back.
+    /// Append the drain mark and wait until it has been read back.
     Mark(DrainMarkRecord),
-    /// Ask how far the entries have read, and the endpoint what it still runs.
+    /// Query how far the entries have read the log, and how many requests the
+    /// endpoint still runs.
     PollProgress,
-    /// Do this for the order.
+    /// Take this step of the order.
     Order(OrderStep),
-    /// Nothing yet.
+    /// Wait, for the reason given.
     Wait(&'static str),
-    /// Nothing more from this process.
+    /// End the change in this process, for the reason given.
     Stop(&'static str),
 }
 
-/// A planned change in the hands of the holder of its duty.
+/// State machine of a planned change, run by the holder of its duty.
 #[derive(Clone, Debug)]
 pub struct ChangeRun {
     endpoint: EndpointId,
     run: OrderRun,
-    rule: DrainTiming,
+    timing: DrainTiming,
     drain: Option<DrainProgress>,
 }
 
 impl ChangeRun {
-    /// A change of `endpoint` by the order `run`.
-    pub fn new(endpoint: EndpointId, run: OrderRun, rule: DrainTiming) -> ChangeRun {
+    /// Creates a change of `endpoint` that is made by the order `run`.
+    pub fn new(endpoint: EndpointId, run: OrderRun, timing: DrainTiming) -> ChangeRun {
         ChangeRun {
             endpoint,
             run,
-            rule,
+            timing,
             drain: None,
         }
     }
 
-    /// The endpoint.
+    /// The endpoint that is changed.
     pub fn endpoint(&self) -> &EndpointId {
         &self.endpoint
     }
 
-    /// The order.
+    /// The order that makes the change.
     pub fn run(&self) -> &OrderRun {
         &self.run
     }
 
-    /// The order, to be told what happened.
+    /// The order, for recording observations and answers.
     pub fn run_mut(&mut self) -> &mut OrderRun {
         &mut self.run
     }
 
-    /// Where draining stands, once the mark has been read back.
+    /// The state of the drain; `None` until the mark has been read back.
     pub fn drain_state(&self) -> Option<DrainState> {
         self.drain.as_ref().map(DrainProgress::state)
     }
 
-    /// What to do next. Neither a new intent nor a sending is next before the
-    /// endpoint has been seen empty under this duty's mark: a planned change that
-    /// did not wait for this would cut requests.
+    /// Returns the next action. A new intent or a send is returned only after the
+    /// endpoint has been observed empty under this duty's mark: a change that did
+    /// not wait for this would abort running requests.
     pub fn next_step(
         &mut self,
         now: ClockTime,
@@ -76,12 +77,12 @@
         orders: &OrderState,
     ) -> ChangeStep {
         let step = self.run.next_step(now, grant, orders);
-        let takes_away = match &step {
+        let needs_drain = match &step {
             OrderStep::Send => true,
             OrderStep::Intend(_) => orders.open(self.run.order()).is_none(),
             _ => false,
         };
-        let (true, Some(grant)) = (takes_away, grant) else {
+        let (true, Some(grant)) = (needs_drain, grant) else {
             return ChangeStep::Order(step);
         };
         let Some(mark) = marks.mark(&self.endpoint) else {
@@ -89,10 +90,10 @@
             return ChangeStep::Mark(self.mark(grant, MarkState::Leaving));
         };
         if mark.duty != grant.duty {
-            return ChangeStep::Stop("another duty is changing the endpoint");
+            return ChangeStep::Stop("the endpoint is drained by another duty");
         }
-        let watched = self.drain.as_ref().map(DrainProgress::mark);
-        if watched != Some(mark.offset) {
+        let watched_mark = self.drain.as_ref().map(DrainProgress::mark);
+        if watched_mark != Some(mark.offset) {
             let drain = DrainProgress::new(self.endpoint.clone(), mark.offset, now);
             self.drain = Some(drain);
         }
@@ -102,14 +103,14 @@
         }
     }
 
-    /// Takes what is known of the entries.
+    /// Records how far the entries have read the log.
     pub fn note_entries(&mut self, now: ClockTime, entries: &[EntryProgress]) {
         if let Some(drain) = &mut self.drain {
-            drain.note_entries(now, entries, &self.rule);
+            drain.note_entries(now, entries, &self.timing);
         }
     }
 
-    /// Takes what the endpoint said of its work in flight to a question asked at
+    /// Records the endpoint's number of requests in flight, from a query sent at
     /// `asked_at`.
     pub fn note_endpoint(&mut self, asked_at: ClockTime, in_flight: u64) {
         if let Some(drain) = &mut self.drain {
@@ -126,8 +127,8 @@
         }
     }
 
-    /// The mark that gives the endpoint work again, for a change that has ended
-    /// here; none after a stop, which leaves nothing to give work to.
+    /// The mark that makes the endpoint available to requests again after a
+    /// finished change; `None` after a stop, which removes the endpoint.
     pub fn staying_mark(&self, grant: &DutyGrant) -> Option<DrainMarkRecord> {
         let stopped = matches!(self.run.body(), OrderBody::StopEndpoint { .. });
         (!stopped).then(|| self.mark(grant, MarkState::Staying))
--- a/crates/core/src/orders/mod.rs
+++ b/crates/core/src/orders/mod.rs
@@ -1,11 +1,11 @@
-//! Orders to engines and to the platform: intent first, then the order, then
-//! its outcome.
+//! Orders to engines and to the platform. The intent is appended to the log
+//! before the order is sent, and the outcome after it has ended.
 //!
-//! An intent counts only under the fencing number in force, and only while no
-//! other order to the same target is open. So whatever two processes believe,
-//! the log never has two different open orders for one engine; a successor
-//! finds its predecessor's open orders there and finishes them, under the same
-//! ids, before it starts its own ([`run::OrderRun`]).
+//! An intent is valid only under the current fencing number, and only while no
+//! other order to the same target is open. So the log never holds two different
+//! open orders for one engine, even if two processes assume that they hold the
+//! duty. The next holder of the duty finds its predecessor's open orders in the
+//! log and finishes them under the same ids before it starts its own ([`run::OrderRun`]).
 
 mod change;
 mod run;
@@ -25,22 +25,22 @@
     },
 };
 
-/// How many settled orders are remembered.
-const SETTLED_LIMIT: usize = 64;
+/// Maximum number of settled orders that are kept.
+const MAX_SETTLED_ORDERS: usize = 64;
 
-/// What at most one open order may speak of.
+/// The target of an order. A target has at most one open order at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderTarget {
-    /// An endpoint.
+    /// An existing endpoint.
     Endpoint(EndpointId),
-    /// An endpoint that does not exist yet; starts don't exclude each other.
+    /// An endpoint that does not exist yet. Any number of starts may be open.
     NewEndpoint,
     /// A usage window.
     Window(UsageWindow),
 }
 
 impl OrderTarget {
-    /// What `body` speaks of.
+    /// The target of `body`.
     pub fn with_body(body: &OrderBody) -> OrderTarget {
         match body {
             OrderBody::SetRole { endpoint, .. }
@@ -56,34 +56,34 @@
     }
 }
 
-/// An order that may be sent, or may have been.
+/// An order with a valid intent and no outcome: it may have been sent already.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct OpenOrder {
-    /// The duty that it belongs to.
+    /// The duty that the order belongs to.
     pub duty: DutyName,
-    /// The fencing number of whoever answers for it: its first sender's, or that
-    /// of the successor who took it over.
+    /// The fencing number of the holder in charge of the order: that of its first
+    /// sender, or that of the successor that took it over.
     pub fence: LogOffset,
-    /// What is ordered.
+    /// The content of the order.
     pub body: OrderBody,
-    /// Where its first intent stands.
+    /// The offset of its first intent.
     pub offset: LogOffset,
 }
 
 /// An order that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct SettledOrder {
-    /// The duty that it belonged to.
+    /// The duty that the order belonged to.
     pub duty: DutyName,
-    /// What was ordered.
+    /// The content of the order.
     pub body: OrderBody,
     /// How it ended.
     pub outcome: OrderOutcome,
-    /// Where its outcome stands.
+    /// The offset of its outcome.
     pub offset: LogOffset,
 }
 
-/// The orders that the log knows of.
+/// The open and settled orders, as recorded in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct OrderState {
     open: BTreeMap<OrderId, OpenOrder>,
@@ -91,7 +91,7 @@
 }
 
 impl OrderState {
-    /// Nothing read yet.
+    /// Creates the state before the first record of the log.
     pub fn new() -> OrderState {
         OrderState::default()
     }
@@ -106,20 +106,19 @@
         self.open.iter()
     }
 
-    /// The open order that speaks of `endpoint`.
+    /// The open order whose target is `endpoint`.
     pub fn open_at(&self, endpoint: &EndpointId) -> Option<(&OrderId, &OpenOrder)> {
         let target = OrderTarget::Endpoint(endpoint.clone());
-        let speaks_of = |open: &OpenOrder| OrderTarget::with_body(&open.body) == target;
-        self.open.iter().find(|(_, open)| speaks_of(open))
+        let targets_endpoint = |open: &OpenOrder| OrderTarget::with_body(&open.body) == target;
+        self.open.iter().find(|(_, open)| targets_endpoint(open))
     }
 
-    /// The order, if it has ended and is still remembered.
+    /// The order, if it has ended and is still kept.
     pub fn settled(&self, order: &OrderId) -> Option<&SettledOrder> {
         self.settled.get(order)
     }
 
-    /// Whether an order to stop `endpoint` has taken effect, as far back as is
-    /// remembered.
+    /// Whether one of the kept settled orders stopped `endpoint`.
     pub fn was_stopped(&self, endpoint: &EndpointId) -> bool {
         self.settled.values().any(|settled| {
             let stop =
@@ -128,8 +127,8 @@
         })
     }
 
-    /// Applies an intent read at `offset`. A repeat of an open order under a
-    /// later fencing number is its successor taking it over.
+    /// Applies an intent read at `offset`. If the order is open already, the intent
+    /// moves it to a later fencing number: a new holder takes it over.
     pub fn intend(
         &mut self,
         _now: ClockTime,
@@ -166,7 +165,7 @@
         self.open.insert(record.order.clone(), open);
     }
 
-    /// Applies an outcome; answers what was ordered if the order ends with it.
+    /// Applies an outcome. Returns the content of the order if the outcome ends it.
     pub fn settle(
         &mut self,
         _now: ClockTime,
@@ -185,13 +184,13 @@
             outcome: record.outcome,
             offset,
         };
-        self.remember(record.order.clone(), settled);
+        self.insert_settled(record.order.clone(), settled);
         Some(open.body)
     }
 
-    fn remember(&mut self, order: OrderId, settled: SettledOrder) {
+    fn insert_settled(&mut self, order: OrderId, settled: SettledOrder) {
         self.settled.insert(order, settled);
-        if self.settled.len() <= SETTLED_LIMIT {
+        if self.settled.len() <= MAX_SETTLED_ORDERS {
             return;
         }
         let oldest = self
@@ -203,7 +202,7 @@
         }
     }
 
-    /// The orders as items of a checkpoint.
+    /// Returns the orders as checkpoint items.
     pub fn checkpoint(&self) -> Vec<CheckpointItem> {
         let open = self
             .open
@@ -230,7 +229,7 @@
         open.chain(settled).collect()
     }
 
-    /// Takes over an item of a checkpoint.
+    /// Restores an order from a checkpoint item; ignores items of other kinds.
     pub fn restore(&mut self, _now: ClockTime, item: &CheckpointItem) {
         match item {
             CheckpointItem::Intent { intent, offset } => {
@@ -259,7 +258,7 @@
                     offset: *offset,
                 };
                 self.open.remove(order);
-                self.remember(order.clone(), settled);
+                self.insert_settled(order.clone(), settled);
             }
             _ => {}
         }
--- a/crates/core/src/orders/run.rs
+++ b/crates/core/src/orders/run.rs
@@ -1,10 +1,11 @@
 //! One order, from its intent to its outcome.
 //!
-//! An order may be lost on its way, take effect while its answer is lost, or be
-//! sent by a process that was frozen and has lost its authority meanwhile. The
-//! intent stands in the log before the first byte leaves, so whoever comes next
-//! knows that the order may have taken effect. It looks before it sends again,
-//! and sends again only under the same id, which the receiver takes as a repeat.
+//! An order may be lost in transit, take effect while its answer is lost, or be
+//! sent by a process that was frozen and has lost its lease meanwhile. The intent
+//! is in the log before the first byte is sent, so the next holder of the duty
+//! can tell that the order may have taken effect. It observes the receiver before
+//! it sends the order again, and uses the same id, by which the receiver detects
+//! the repeat.
 
 use super::OrderState;
 use crate::{
@@ -14,99 +15,101 @@
     records::{EngineRole, IntentRecord, OrderBody, OrderOutcome, OutcomeRecord},
 };
 
-/// How long orders and leases take.
+/// Timeouts and delays of orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderTiming {
-    /// How long one sending may take before it is given up.
+    /// How long one attempt to send the order may take.
     pub timeout: TimeSpan,
-    /// The pause before the receiver is looked at or sent to again.
+    /// The delay before the receiver is observed or sent the order again.
     pub retry_pause: TimeSpan,
-    /// How long a new holder of a duty waits before it orders anything new from a
-    /// receiver that ignores fencing numbers: lease, order timeout and margin.
+    /// How long a new holder of a duty waits before it sends a new order to a
+    /// receiver that ignores fencing numbers: lease duration, order timeout and
+    /// margin.
     pub takeover_delay: TimeSpan,
 }
 
-/// What an engine says of itself.
+/// The state that an engine reports of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineView {
-    /// A number that changes when the engine is started again.
+    /// A number that changes with each start of the engine.
     pub incarnation: u64,
-    /// Its role.
+    /// The current role.
     pub role: EngineRole,
-    /// Its model.
+    /// The loaded model.
     pub model: ModelName,
-    /// Whether a change is under way.
+    /// Whether a change is in progress.
     pub changing: bool,
-    /// The last order that took effect.
+    /// The last order that the engine accepted.
     pub last_order: Option<OrderId>,
 }
 
-/// What can be seen of an order's effect at its receiver.
+/// The effect of an order, as observed at its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ObservedEffect {
-    /// The engine answered.
+    /// The receiver is an engine, which reported its state.
     Engine(EngineView),
-    /// The effect is there.
+    /// The order has taken effect.
     Done,
-    /// The effect is not there.
+    /// The order has not taken effect.
     Absent,
-    /// Another effect stands in its place, which the order can't undo.
+    /// A different effect is recorded in its place, which the order can't replace.
     Conflicting,
-    /// The receiver does not exist any more.
+    /// The receiver no longer exists.
     Removed,
-    /// The receiver could not be asked.
+    /// The receiver could not be queried.
     Unreachable,
 }
 
-/// What became of one sending.
+/// The result of one attempt to send an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendAnswer {
-    /// The receiver took the order and carries it out.
+    /// The receiver has accepted the order and is executing it.
     Accepted,
-    /// The receiver took the order and has carried it out.
+    /// The receiver has executed the order.
     Done,
-    /// The receiver knows of a later fencing number.
+    /// The receiver has seen a later fencing number; the order has no effect.
     Stale,
-    /// The receiver refuses; the order has no effect.
+    /// The receiver refused the order, which has no effect.
     Refused,
-    /// The receiver can't take it now; the order has no effect.
+    /// The receiver can't accept the order now; it has no effect.
     Unavailable,
-    /// Whether the receiver got it is unknown.
+    /// It is unknown whether the receiver got the order.
     Unknown,
 }
 
-/// What the holder of the duty has to do next for the order.
+/// The next action for an order, to be taken by the holder of the duty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderStep {
     /// Append the intent and wait until it has been read back.
     Intend(IntentRecord),
-    /// Look at the receiver.
+    /// Observe the receiver.
     Observe,
-    /// Send the order, unless the clock has passed the authority's end.
+    /// Send the order, unless the lease has ended by the local clock.
     Send,
     /// Append the outcome.
     Settle {
-        /// The outcome.
+        /// The outcome record.
         record: OutcomeRecord,
-        /// Why.
+        /// The reason for the outcome, for the decision record.
         reason: &'static str,
     },
-    /// Nothing yet.
+    /// Wait, for the reason given.
     Wait(&'static str),
-    /// Nothing more from this process: it has ended, or another is in charge.
+    /// End the run in this process: the order has ended, or another process holds
+    /// the duty.
     Stop(&'static str),
 }
 
-/// One order in the hands of the holder of its duty.
+/// State machine of one order, run by the holder of its duty.
 #[derive(Clone, Debug)]
 pub struct OrderRun {
     order: OrderId,
     body: OrderBody,
     checks_fencing: bool,
-    rule: OrderTiming,
-    intended: bool,
-    verdict: Option<(OrderOutcome, &'static str)>,
-    stopped: Option<&'static str>,
+    timing: OrderTiming,
+    intent_appended: bool,
+    outcome: Option<(OrderOutcome, &'static str)>,
+    stop_reason: Option<&'static str>,
     observed: bool,
     incarnation: Option<u64>,
     sent: bool,
@@ -114,22 +117,22 @@
 }
 
 impl OrderRun {
-    /// A run of the order `order`, new or found open in the log, to a receiver
-    /// that checks fencing numbers or ignores them.
+    /// Creates a run of `order`, which is new or already open in the log.
+    /// `checks_fencing` states whether the receiver checks fencing numbers.
     pub fn new(
         order: OrderId,
         body: OrderBody,
         checks_fencing: bool,
-        rule: OrderTiming,
+        timing: OrderTiming,
     ) -> OrderRun {
         OrderRun {
             order,
             body,
             checks_fencing,
-            rule,
-            intended: false,
-            verdict: None,
-            stopped: None,
+            timing,
+            intent_appended: false,
+            outcome: None,
+            stop_reason: None,
             observed: false,
             incarnation: None,
             sent: false,
@@ -142,26 +145,26 @@
         &self.order
     }
 
-    /// What is ordered.
+    /// The content of the order.
     pub fn body(&self) -> &OrderBody {
         &self.body
     }
 
-    /// What to do next, by the authority and the log as they stand.
+    /// Returns the next action for the current grant and the state of the log.
     pub fn next_step(
         &self,
         now: ClockTime,
         grant: Option<&DutyGrant>,
         orders: &OrderState,
     ) -> OrderStep {
-        if let Some(reason) = self.stopped {
+        if let Some(reason) = self.stop_reason {
             return OrderStep::Stop(reason);
         }
         if orders.settled(&self.order).is_some() {
             return OrderStep::Stop("the order has been settled");
         }
         let Some(grant) = grant else {
-            return OrderStep::Stop("the authority has ended");
+            return OrderStep::Stop("the lease on the duty has ended");
         };
         let Some(open) = orders.open(&self.order) else {
             return self.first_step(now, grant);
@@ -169,29 +172,29 @@
         if open.fence != grant.fence {
             return OrderStep::Intend(self.intent(grant));
         }
-        if let Some((outcome, reason)) = self.verdict {
+        if let Some((outcome, reason)) = self.outcome {
             return self.settle_step(grant, outcome, reason);
         }
         if now < self.resume_at {
-            return OrderStep::Wait("the receiver is given time");
+            return OrderStep::Wait("the pause before the next attempt has not passed");
         }
         if !self.observed {
             return OrderStep::Observe;
         }
-        if !grant.covers(now, self.rule.timeout) {
-            return OrderStep::Wait("the lease ends too soon for the order");
+        if !grant.covers(now, self.timing.timeout) {
+            return OrderStep::Wait("the lease would end before the order times out");
         }
         OrderStep::Send
     }
 
     fn first_step(&self, now: ClockTime, grant: &DutyGrant) -> OrderStep {
-        if self.intended {
-            return OrderStep::Stop("the intent does not count: another order is open");
+        if self.intent_appended {
+            return OrderStep::Stop("the intent is not valid: another order is open");
         }
-        // A predecessor that was frozen between its look at the clock and its
-        // sending may still send: a receiver that ignores fencing numbers would
-        // obey both. Until such a sending has timed out nothing new is ordered.
-        if !self.checks_fencing && now < grant.claimed_at + self.rule.takeover_delay {
+        // A predecessor that was frozen between its check of the clock and its send
+        // may still send an order, and a receiver that ignores fencing numbers would
+        // execute both. No new order is sent until such an order has timed out.
+        if !self.checks_fencing && now < grant.claimed_at + self.timing.takeover_delay {
             return OrderStep::Wait("a predecessor's order may still arrive");
         }
         OrderStep::Intend(self.intent(grant))
@@ -221,65 +224,76 @@
         OrderStep::Settle { record, reason }
     }
 
-    /// Notes that the intent has been appended and read back, counted or not.
+    /// Records that the intent has been appended and read back, whether it is valid
+    /// or not.
     pub fn note_intent(&mut self) {
-        self.intended = true;
+        self.intent_appended = true;
     }
 
-    /// Takes what was seen at the receiver.
+    /// Records an observation of the receiver made at `now`.
     pub fn note_observation(&mut self, now: ClockTime, view: &ObservedEffect) {
         match view {
-            ObservedEffect::Done => self.verdict = Some((OrderOutcome::Applied, "seen in effect")),
+            ObservedEffect::Done => {
+                self.outcome = Some((OrderOutcome::Applied, "the order was observed in effect"))
+            }
             ObservedEffect::Conflicting => {
-                let reason = "the receiver has something else in its place";
-                self.verdict = Some((OrderOutcome::Refused, reason));
+                let reason = "the receiver has a conflicting effect";
+                self.outcome = Some((OrderOutcome::Refused, reason));
             }
-            ObservedEffect::Removed => self.verdict = Some(self.gone_verdict()),
-            ObservedEffect::Unreachable => self.resume_at = now + self.rule.retry_pause,
+            ObservedEffect::Removed => self.outcome = Some(self.removed_outcome()),
+            ObservedEffect::Unreachable => self.resume_at = now + self.timing.retry_pause,
             ObservedEffect::Absent => self.observed = true,
             ObservedEffect::Engine(engine) => self.observed_engine(now, engine),
         }
     }
 
-    fn gone_verdict(&self) -> (OrderOutcome, &'static str) {
+    fn removed_outcome(&self) -> (OrderOutcome, &'static str) {
         match self.body {
-            OrderBody::StopEndpoint { .. } => (OrderOutcome::Applied, "the endpoint is gone"),
-            _ => (OrderOutcome::Abandoned, "the endpoint is gone"),
+            OrderBody::StopEndpoint { .. } => {
+                (OrderOutcome::Applied, "the endpoint no longer exists")
+            }
+            _ => (OrderOutcome::Abandoned, "the endpoint no longer exists"),
         }
     }
 
     fn observed_engine(&mut self, now: ClockTime, engine: &EngineView) {
-        let crashed = self
+        let restarted = self
             .incarnation
             .is_some_and(|incarnation| incarnation != engine.incarnation);
         self.incarnation = Some(engine.incarnation);
         if engine.changing {
-            self.resume_at = now + self.rule.retry_pause;
+            self.resume_at = now + self.timing.retry_pause;
             return;
         }
         if engine.last_order.as_ref() == Some(&self.order) {
-            self.verdict = Some((OrderOutcome::Applied, "seen in effect"));
+            self.outcome = Some((OrderOutcome::Applied, "the order was observed in effect"));
             return;
         }
-        // The engine that took the order is gone, and what runs in its place
-        // never had it: whether to order again is for the next plan to decide.
-        if crashed && self.sent {
-            self.verdict = Some((OrderOutcome::Abandoned, "the engine was started again"));
+        // The incarnation that accepted the order has ended, and the new one never
+        // received it. The next plan decides whether the change is ordered again.
+        if restarted && self.sent {
+            self.outcome = Some((OrderOutcome::Abandoned, "the engine was restarted"));
             return;
         }
         self.observed = true;
     }
 
-    /// Takes what became of a sending.
+    /// Records the result of an attempt to send the order, received at `now`.
     pub fn note_answer(&mut self, now: ClockTime, answer: SendAnswer) {
         self.sent = true;
         self.observed = false;
-        self.resume_at = now + self.rule.retry_pause;
+        self.resume_at = now + self.timing.retry_pause;
         match answer {
             SendAnswer::Accepted | SendAnswer::Unavailable | SendAnswer::Unknown => {}
-            SendAnswer::Done => self.verdict = Some((OrderOutcome::Applied, "carried out")),
-            SendAnswer::Refused => self.verdict = Some((OrderOutcome::Refused, "refused")),
-            SendAnswer::Stale => self.stopped = Some("the receiver knows of a successor"),
+            SendAnswer::Done => {
+                self.outcome = Some((OrderOutcome::Applied, "the receiver executed the order"))
+            }
+            SendAnswer::Refused => {
+                self.outcome = Some((OrderOutcome::Refused, "the receiver refused the order"))
+            }
+            SendAnswer::Stale => {
+                self.stop_reason = Some("the receiver has seen a later fencing number")
+            }
         }
     }
 }
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys: who may send, and what repeats learn.
+//! Claims of idempotency keys: which request is sent, and how repeats are answered.
 
 use std::collections::BTreeMap;
 
@@ -60,9 +60,9 @@
 }
 
 /// A caller sends one charge to two entries at once, and both claim its key. If
-/// both were let through, the customer would pay twice.
+/// both entries forwarded it, the customer would pay twice.
 #[test]
-fn of_two_claims_the_first_in_the_log_sends() {
+fn only_the_request_with_the_first_claim_in_the_log_is_sent() {
     let mut state = ClaimState::new();
     let (first, second) = (claim("k", "r1", "five"), claim("k", "r2", "five"));
     assert_eq!(verdict(&state, &first), ClaimVerdict::Free);
@@ -78,8 +78,8 @@
     assert_eq!(verdict(&state, &second), ClaimVerdict::Recorded(answered()));
 }
 
-/// An entry is killed after its claim. Whether it had sent the charge nobody
-/// knows, so no repeat may send it, however often it comes.
+/// An entry is killed after its claim. It is unknown whether it had sent the
+/// charge, so no repeat may be sent, regardless of their number.
 #[test]
 fn a_claim_without_settlement_is_never_taken_over() {
     let mut state = ClaimState::new();
@@ -111,8 +111,8 @@
     assert_eq!(verdict(&state, &other), ClaimVerdict::OtherContent);
 }
 
-/// The window of kept claims is counted for each organisation by itself, and a
-/// claim just inside it still keeps a charge from running twice.
+/// The limit on kept claims applies to each organisation separately, and the oldest
+/// claim within the limit still prevents a charge from running twice.
 #[test]
 fn an_organisations_last_claims_are_kept() {
     let mut state = ClaimState::new();
@@ -136,7 +136,7 @@
     assert_eq!(state.len(), MAX_CLAIMS_PER_ORGANISATION + 1);
 }
 
-/// One record of a random log: of few keys, requests and results.
+/// One record of a random log with few keys, requests and results.
 #[derive(Clone, Debug)]
 enum RandomRecord {
     Claim(IdempotencyClaim),
@@ -156,7 +156,8 @@
     }
 }
 
-/// The history of one key: who was told that it may send, and who settled how.
+/// The history of one key: the requests that could be sent, and those that freed
+/// the key.
 #[derive(Default)]
 struct KeyHistory {
     senders: Vec<RequestId>,
@@ -171,15 +172,15 @@
             RandomRecord::Claim(claim) => {
                 apply_claim(&mut state, offset as u64, claim);
                 let history = histories.entry(claim.key.clone()).or_default();
-                let mine = verdict(&state, claim) == ClaimVerdict::Mine;
-                if mine && history.senders.last() != Some(&claim.request) {
+                let is_own = verdict(&state, claim) == ClaimVerdict::Mine;
+                if is_own && history.senders.last() != Some(&claim.request) {
                     history.senders.push(claim.request.clone());
                 }
             }
             RandomRecord::Settle(claim, result) => {
-                let mine = verdict(&state, claim) == ClaimVerdict::Mine;
+                let is_own = verdict(&state, claim) == ClaimVerdict::Mine;
                 apply_settlement(&mut state, claim, result.clone());
-                if mine && *result == SettledResult::NotRun {
+                if is_own && *result == SettledResult::NotRun {
                     let history = histories.entry(claim.key.clone()).or_default();
                     history.freed.push(claim.request.clone());
                 }
@@ -190,18 +191,18 @@
     for item in state.checkpoint() {
         restored.restore(NOW, &item);
     }
-    // Whoever was let through before the last must have freed the key itself.
-    let alone = |history: &KeyHistory| {
+    // Every request that could be sent before the last one must have freed the key.
+    let sent_one_at_a_time = |history: &KeyHistory| {
         let others = history.senders.len().saturating_sub(1);
         history.senders[..others]
             .iter()
             .all(|sender| history.freed.contains(sender))
     };
-    restored == state && histories.values().all(alone)
+    restored == state && histories.values().all(sent_one_at_a_time)
 }
 
 #[test]
-fn random_logs_let_one_request_through_for_each_key() {
+fn random_logs_allow_one_request_for_each_key() {
     let seeds: u64 = std::env::var("BLUEBELL_SEEDS").map_or(200, |n| n.parse().unwrap());
     for seed in 0..seeds {
         let mut g = Gen::from_size_and_seed(40, seed);
--- a/crates/core/tests/claims_schedules.rs
+++ b/crates/core/tests/claims_schedules.rs
@@ -1,8 +1,9 @@
-//! Claims under random schedules: entries that are killed at any step, appends that
-//! are refused, whose answers are lost, or that land late, and callers that send
-//! one action again and again to any entry.
+//! Claims under random schedules: entries are killed at any step, appends are
+//! refused, lose their answers or are stored late, and callers repeat each action at
+//! any entry.
 //!
-//! What is judged is what the service saw and what callers were told.
+//! The test checks which requests the service received and which answers the callers
+//! got.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -23,7 +24,7 @@
 const ENTRIES: usize = 3;
 const KEYS: u32 = 4;
 
-/// An append that may be under way, or land late after its process is gone.
+/// An append that may be in flight, or be stored after its process has ended.
 #[derive(Clone, Debug)]
 struct Append {
     writer: WriterId,
@@ -32,28 +33,28 @@
 }
 
 #[derive(Clone, Debug)]
-enum Waiting {
+enum PendingRecord {
     Claim(IdempotencyClaim),
     Settle(IdempotencyClaim, SettledResult),
 }
 
-/// One entry: an incarnation that has one append under way at a time, and requests
-/// that it has sent and whose answer is still to come.
+/// One incarnation of an entry, which has at most one append in flight, and the
+/// requests that it has sent and that are not answered yet.
 struct Entry {
     writer: WriterId,
     sequence: u64,
-    waiting: VecDeque<Waiting>,
+    pending: VecDeque<PendingRecord>,
     sent: Vec<IdempotencyClaim>,
 }
 
 #[derive(Default)]
 struct History {
     sends: BTreeMap<IdempotencyKey, Vec<RequestId>>,
-    told_not_run: BTreeSet<RequestId>,
+    answered_not_run: BTreeSet<RequestId>,
     replayed: usize,
 }
 
-struct World {
+struct Simulation {
     random: ChaCha8Rng,
     view: FleetView,
     entries: Vec<Entry>,
@@ -71,9 +72,9 @@
     }
 }
 
-impl World {
-    fn new(seed: u64) -> World {
-        let mut world = World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        let mut simulation = Simulation {
             random: ChaCha8Rng::seed_from_u64(seed),
             view: FleetView::new(),
             entries: Vec::new(),
@@ -83,10 +84,10 @@
             history: History::default(),
         };
         for _ in 0..ENTRIES {
-            let entry = world.incarnation();
-            world.entries.push(entry);
+            let entry = simulation.incarnation();
+            simulation.entries.push(entry);
         }
-        world
+        simulation
     }
 
     fn incarnation(&mut self) -> Entry {
@@ -94,12 +95,12 @@
         Entry {
             writer: WriterId::new(format!("entry:{}", self.incarnations)).unwrap(),
             sequence: 0,
-            waiting: VecDeque::new(),
+            pending: VecDeque::new(),
             sent: Vec::new(),
         }
     }
 
-    fn land(&mut self, append: Append) {
+    fn store(&mut self, append: Append) {
         let entry = LogEntry {
             offset: self.view.next_offset(),
             writer: append.writer,
@@ -125,7 +126,7 @@
             0..=5 => self.arrive(entry),
             6..=13 => self.append(entry),
             14..=16 => self.end_call(entry),
-            17 | 18 => self.land_late(),
+            17 | 18 => self.store_late(),
             _ => self.kill(entry),
         }
     }
@@ -142,7 +143,9 @@
             organisation,
         };
         match self.verdict(&claim) {
-            ClaimVerdict::Free => self.entries[entry].waiting.push_back(Waiting::Claim(claim)),
+            ClaimVerdict::Free => self.entries[entry]
+                .pending
+                .push_back(PendingRecord::Claim(claim)),
             ClaimVerdict::Recorded(result) => {
                 assert_eq!(result, answered());
                 self.history.replayed += 1;
@@ -151,36 +154,36 @@
         }
     }
 
-    /// The entry's next append is refused, or is sent: it lands now, late or never,
-    /// and its answer is heard or lost.
+    /// Sends the entry's next append: it is stored now, late or never, and its answer
+    /// is received or lost.
     fn append(&mut self, entry: usize) {
-        let Some(waiting) = self.entries[entry].waiting.pop_front() else {
+        let Some(pending) = self.entries[entry].pending.pop_front() else {
             return;
         };
-        let append = self.numbered(entry, &waiting);
+        let append = self.numbered(entry, &pending);
         match self.random.random_range(0..8) {
             0..=3 => {
-                self.land(append);
-                self.heard(entry, waiting);
+                self.store(append);
+                self.note_acknowledged(entry, pending);
             }
             4 => {
-                self.land(append);
-                self.not_heard(entry, waiting);
+                self.store(append);
+                self.note_unanswered(entry, pending);
             }
             5 => {
                 self.late.push(append);
-                self.not_heard(entry, waiting);
+                self.note_unanswered(entry, pending);
             }
-            _ => self.not_heard(entry, waiting),
+            _ => self.note_unanswered(entry, pending),
         }
     }
 
-    fn numbered(&mut self, entry: usize, waiting: &Waiting) -> Append {
-        let record = match waiting {
-            Waiting::Claim(claim) => LogRecord::Claims(ClaimBatch {
+    fn numbered(&mut self, entry: usize, pending: &PendingRecord) -> Append {
+        let record = match pending {
+            PendingRecord::Claim(claim) => LogRecord::Claims(ClaimBatch {
                 claims: vec![claim.clone()],
             }),
-            Waiting::Settle(claim, result) => LogRecord::Settlements(SettlementBatch {
+            PendingRecord::Settle(claim, result) => LogRecord::Settlements(SettlementBatch {
                 settlements: vec![ClaimSettlement {
                     organisation: claim.organisation.clone(),
                     key: claim.key.clone(),
@@ -198,8 +201,8 @@
         }
     }
 
-    fn heard(&mut self, entry: usize, waiting: Waiting) {
-        let Waiting::Claim(claim) = waiting else {
+    fn note_acknowledged(&mut self, entry: usize, pending: PendingRecord) {
+        let PendingRecord::Claim(claim) = pending else {
             return;
         };
         if self.verdict(&claim) != ClaimVerdict::Mine {
@@ -210,15 +213,15 @@
         self.entries[entry].sent.push(claim);
     }
 
-    fn not_heard(&mut self, entry: usize, waiting: Waiting) {
-        let again = match waiting {
-            Waiting::Claim(claim) => {
-                self.history.told_not_run.insert(claim.request.clone());
-                Waiting::Settle(claim, SettledResult::NotRun)
+    fn note_unanswered(&mut self, entry: usize, pending: PendingRecord) {
+        let next_record = match pending {
+            PendingRecord::Claim(claim) => {
+                self.history.answered_not_run.insert(claim.request.clone());
+                PendingRecord::Settle(claim, SettledResult::NotRun)
             }
-            settle @ Waiting::Settle(..) => settle,
+            settle @ PendingRecord::Settle(..) => settle,
         };
-        self.entries[entry].waiting.push_back(again);
+        self.entries[entry].pending.push_back(next_record);
     }
 
     fn end_call(&mut self, entry: usize) {
@@ -229,47 +232,51 @@
             true => answered(),
             false => SettledResult::Unknown,
         };
-        let settle = Waiting::Settle(claim, result);
-        self.entries[entry].waiting.push_back(settle);
+        let settle = PendingRecord::Settle(claim, result);
+        self.entries[entry].pending.push_back(settle);
     }
 
-    fn land_late(&mut self) {
+    fn store_late(&mut self) {
         if !self.late.is_empty() {
             let number = self.random.random_range(0..self.late.len());
             let append = self.late.swap_remove(number);
-            self.land(append);
+            self.store(append);
         }
     }
 
-    /// The process is killed, perhaps with an append under way.
+    /// Kills the process, possibly with an append in flight.
     fn kill(&mut self, entry: usize) {
-        if let Some(waiting) = self.entries[entry].waiting.pop_front() {
-            let append = self.numbered(entry, &waiting);
+        if let Some(pending) = self.entries[entry].pending.pop_front() {
+            let append = self.numbered(entry, &pending);
             self.late.push(append);
         }
         self.entries[entry] = self.incarnation();
     }
 }
 
-/// A customer pays twice, or is told "not run" for a charge that was sent.
+/// Guards against a customer paying twice, or getting the answer "not run" for a
+/// charge that was sent.
 #[test]
-fn no_schedule_sends_an_action_twice_or_makes_a_false_not_run() {
+fn no_schedule_sends_an_action_twice_or_answers_not_run_wrongly() {
     let seeds: u64 = std::env::var("BLUEBELL_SEEDS").map_or(400, |n| n.parse().unwrap());
     let (mut sent, mut replayed, mut not_run) = (0, 0, 0);
     for seed in 0..seeds {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..200 {
-            world.step();
+            simulation.step();
         }
-        for (key, requests) in &world.history.sends {
+        for (key, requests) in &simulation.history.sends {
             assert_eq!(requests.len(), 1, "seed {seed}: `{key}` by {requests:?}");
-            let told = &world.history.told_not_run;
-            assert!(!told.contains(&requests[0]), "seed {seed}: `{key}`");
+            let not_run_answers = &simulation.history.answered_not_run;
+            assert!(
+                !not_run_answers.contains(&requests[0]),
+                "seed {seed}: `{key}`"
+            );
         }
-        sent += world.history.sends.len();
-        replayed += world.history.replayed;
-        not_run += world.history.told_not_run.len();
+        sent += simulation.history.sends.len();
+        replayed += simulation.history.replayed;
+        not_run += simulation.history.answered_not_run.len();
     }
-    // The schedules must reach what they are about.
+    // The schedules must cover sent, replayed and unsent requests.
     assert!(sent > 0 && replayed > 0 && not_run > 0);
 }
--- a/crates/core/tests/draining.rs
+++ b/crates/core/tests/draining.rs
@@ -1,4 +1,4 @@
-//! Leaving endpoints: which marks count, and when an endpoint is empty.
+//! Draining endpoints: which marks are valid, and when an endpoint is empty.
 
 use bluebell_core::{
     authority::{DutyGrant, LeaseState},
@@ -13,7 +13,7 @@
 
 const MARK: LogOffset = LogOffset::new(10);
 
-fn rule() -> DrainTiming {
+fn timing() -> DrainTiming {
     DrainTiming {
         unreachable_timeout: TimeSpan::from_secs(5),
         transit_time: TimeSpan::from_millis(500),
@@ -68,36 +68,36 @@
     }
 }
 
-/// One entry lags behind the log and still sends work to a leaving engine. An
-/// order that goes out now would cut that work.
+/// One entry lags behind the log and still sends requests to a draining engine. An
+/// order that is sent now would abort those requests.
 #[test]
-fn an_entry_that_lags_behind_the_mark_is_waited_for_without_limit() {
+fn a_drain_waits_without_limit_for_an_entry_that_lags_behind_the_mark() {
     let mut drain = drain();
-    drain.note_entries(at(60_000), &entries(&[Some(11), Some(10)]), &rule());
+    drain.note_entries(at(60_000), &entries(&[Some(11), Some(10)]), &timing());
     drain.note_endpoint(at(60_000), 0);
     assert_eq!(drain.state(), DrainState::AwaitingEntries);
-    drain.note_entries(at(61_000), &entries(&[Some(11), Some(11)]), &rule());
+    drain.note_entries(at(61_000), &entries(&[Some(11), Some(11)]), &timing());
     assert_eq!(drain.state(), DrainState::AwaitingCompletion);
 }
 
-/// An entry was killed and never says how far it has read. Changes must go on
-/// once it would have noticed the mark or is gone.
+/// An entry was killed and never reports how far it has read. Changes must proceed
+/// once a live entry would have detected the drain.
 #[test]
-fn an_entry_that_cannot_be_reached_is_waited_for_up_to_the_bound() {
+fn a_drain_waits_for_an_unreachable_entry_up_to_the_timeout() {
     let mut drain = drain();
-    let silent = entries(&[Some(11), None]);
-    drain.note_entries(at(4_999), &silent, &rule());
+    let unreachable = entries(&[Some(11), None]);
+    drain.note_entries(at(4_999), &unreachable, &timing());
     assert_eq!(drain.state(), DrainState::AwaitingEntries);
-    drain.note_entries(at(5_000), &silent, &rule());
+    drain.note_entries(at(5_000), &unreachable, &timing());
     assert_eq!(drain.state(), DrainState::AwaitingCompletion);
 }
 
-/// An engine says that it is empty while a request is on its way that an entry
+/// An engine reports that it is empty while a request is in transit that an entry
 /// sent just before it read the mark.
 #[test]
-fn an_answer_from_before_the_entries_were_told_does_not_count() {
+fn a_report_from_before_all_entries_applied_the_mark_is_ignored() {
     let mut drain = drain();
-    drain.note_entries(at(1_000), &entries(&[Some(11)]), &rule());
+    drain.note_entries(at(1_000), &entries(&[Some(11)]), &timing());
     drain.note_endpoint(at(1_000), 0);
     assert_eq!(drain.state(), DrainState::AwaitingCompletion);
     drain.note_endpoint(at(1_500), 1);
@@ -106,10 +106,10 @@
     assert_eq!(drain.state(), DrainState::Empty);
 }
 
-/// A holder that lost its authority marks an engine as staying that its successor
-/// is draining: new work would arrive under the successor's order.
+/// A holder that lost its lease clears the mark of an engine that its successor is
+/// draining: new requests would arrive while the successor's order is executed.
 #[test]
-fn a_mark_counts_only_under_the_fencing_number_in_force() {
+fn a_mark_is_valid_only_under_the_current_fencing_number() {
     let leases = leases(&[engines()]);
     let mut marks = DrainMarks::new();
     marks.apply(
@@ -123,8 +123,9 @@
     assert!(marks.is_draining(&endpoint()));
 }
 
-/// The fleet's holder gives an endpoint work again whose role the engines' holder
-/// is about to change: callers' work would be cut by the change.
+/// The holder of the `fleet` duty clears the mark of an endpoint whose role the
+/// holder of the `engines` duty is about to change: the change would abort callers'
+/// requests.
 #[test]
 fn a_duty_does_not_clear_the_mark_of_another() {
     let leases = leases(&[engines(), DutyName::Fleet]);
@@ -135,13 +136,13 @@
         &mark(engines(), 0, MarkState::Leaving),
         &leases,
     );
-    let foreign = mark(DutyName::Fleet, 1, MarkState::Staying);
-    marks.apply(at(0), MARK.next(), &foreign, &leases);
+    let other_duty = mark(DutyName::Fleet, 1, MarkState::Staying);
+    marks.apply(at(0), MARK.next(), &other_duty, &leases);
     assert!(marks.is_draining(&endpoint()));
 }
 
 /// An operator publishes a new role plan while callers' requests run. Neither the
-/// intent nor the order may come before the engine is marked and empty.
+/// intent nor the order may precede the mark and the empty engine.
 #[test]
 fn a_change_waits_until_the_engine_is_empty() {
     let (leases, orders) = (leases(&[engines()]), OrderState::new());
@@ -156,17 +157,17 @@
         endpoint: endpoint(),
         role: EngineRole::Decode,
     };
-    let order_rule = OrderTiming {
+    let order_timing = OrderTiming {
         timeout: TimeSpan::from_secs(1),
         retry_pause: TimeSpan::ZERO,
         takeover_delay: TimeSpan::from_secs(8),
     };
     let order = OrderId::new("o1").expect("the name is valid");
-    let run = OrderRun::new(order, body, true, order_rule);
-    let mut change = ChangeRun::new(endpoint(), run, rule());
+    let run = OrderRun::new(order, body, true, order_timing);
+    let mut change = ChangeRun::new(endpoint(), run, timing());
     let step = change.next_step(at(0), Some(&grant), &marks, &orders);
     let ChangeStep::Mark(record) = step else {
-        panic!("the engine is not marked first: {step:?}");
+        panic!("the first step does not mark the engine: {step:?}");
     };
     marks.apply(at(0), MARK, &record, &leases);
     let step = change.next_step(at(0), Some(&grant), &marks, &orders);
--- a/crates/core/tests/orders.rs
+++ b/crates/core/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Which intents and outcomes count, and what a holder does for an order.
+//! Validity of intents and outcomes, and the steps of an order run.
 
 use bluebell_core::{
     authority::{DutyGrant, LeaseState},
@@ -61,7 +61,7 @@
     }
 }
 
-fn rule() -> OrderTiming {
+fn timing() -> OrderTiming {
     OrderTiming {
         timeout: TimeSpan::from_secs(1),
         retry_pause: TimeSpan::ZERO,
@@ -73,7 +73,7 @@
     let body = set_role(EngineRole::Prefill);
     let record = intent(engines(), fence, "o1", body.clone());
     orders.intend(NOW, LogOffset::new(90), &record, leases);
-    OrderRun::new(order("o1"), body, true, rule())
+    OrderRun::new(order("o1"), body, true, timing())
 }
 
 fn engine_state(incarnation: u64, last_order: Option<&str>) -> ObservedEffect {
@@ -86,11 +86,11 @@
     })
 }
 
-/// A holder is frozen while its intent is on its way to the log, and a successor
-/// takes over meanwhile. If the late intent counted, the successor would find an
-/// order open that nobody in charge has decided on.
+/// A holder is frozen while its intent is in transit to the log, and a successor
+/// takes the duty over. If the late intent were valid, the successor would find an
+/// open order that the current holder did not decide on.
 #[test]
-fn an_intent_of_a_holder_that_was_superseded_does_not_count() {
+fn an_intent_of_a_superseded_holder_is_ignored() {
     let (mut leases, mut orders) = (LeaseState::new(), OrderState::new());
     lease(&mut leases, engines(), 1, None);
     lease(&mut leases, engines(), 2, Some(1));
@@ -99,10 +99,10 @@
     assert_eq!(orders.open_orders().count(), 0);
 }
 
-/// The fleet's holder stops an engine while the engines' holder changes its role.
-/// If both were open, the engine would get conflicting orders.
+/// The holder of the `fleet` duty stops an engine while the holder of the `engines`
+/// duty changes its role. If both orders were open, they would conflict.
 #[test]
-fn one_engine_has_one_open_order_whoever_is_in_charge() {
+fn one_engine_has_one_open_order_across_duties() {
     let (mut leases, mut orders) = (LeaseState::new(), OrderState::new());
     lease(&mut leases, engines(), 1, None);
     lease(&mut leases, DutyName::Fleet, 2, None);
@@ -116,10 +116,10 @@
     assert_eq!(open, [&order("role")]);
 }
 
-/// A holder that lost its authority settles an order that its successor is still
-/// carrying out. Were that to count, a different order could start too early.
+/// A holder that lost its lease settles an order that its successor is still
+/// executing. If this outcome were valid, a different order could start too early.
 #[test]
-fn only_the_holder_settles_an_order() {
+fn only_the_current_holder_settles_an_order() {
     let (mut leases, mut orders) = (LeaseState::new(), OrderState::new());
     lease(&mut leases, engines(), 1, None);
     open_run(&mut orders, &leases, 1);
@@ -138,9 +138,9 @@
 }
 
 /// The answer to an order is lost after it took effect. Sending it again under
-/// another id would take the engine away from callers a second time.
+/// another id would make the engine unavailable to callers a second time.
 #[test]
-fn an_order_whose_answer_was_lost_is_looked_at_before_it_is_sent_again() {
+fn after_a_lost_answer_the_receiver_is_observed_before_the_next_send() {
     let (mut leases, mut orders) = (LeaseState::new(), OrderState::new());
     lease(&mut leases, engines(), 1, None);
     let mut run = open_run(&mut orders, &leases, 1);
@@ -157,11 +157,10 @@
     assert!(matches!(step, OrderStep::Settle { .. }), "{step:?}");
 }
 
-/// An engine crashes in the middle of a change and comes back as it was. The
-/// order has ended; sending it on would change an engine that the next plan may
-/// want otherwise.
+/// An engine crashes during a change and restarts in its former state. The order
+/// is abandoned: the next plan may assign a different role to the engine.
 #[test]
-fn an_order_ends_with_the_engine_that_crashed_in_the_middle_of_it() {
+fn an_order_is_abandoned_when_the_engine_restarts_during_it() {
     let (mut leases, mut orders) = (LeaseState::new(), OrderState::new());
     lease(&mut leases, engines(), 1, None);
     let mut run = open_run(&mut orders, &leases, 1);
@@ -170,22 +169,22 @@
     run.note_observation(NOW, &engine_state(2, None));
     let step = run.next_step(NOW, Some(&grant(1, ClockTime::default())), &orders);
     let OrderStep::Settle { record, .. } = step else {
-        panic!("the order goes on: {step:?}");
+        panic!("the order was not settled: {step:?}");
     };
     assert_eq!(record.outcome, OrderOutcome::Abandoned);
 }
 
 /// A successor finds its predecessor's order open: it takes the order over under
-/// the same id and looks before it sends.
+/// the same id and observes the receiver before it sends.
 #[test]
-fn a_successor_finishes_what_its_predecessor_left_open() {
+fn a_successor_finishes_the_open_order_of_its_predecessor() {
     let (mut leases, mut orders) = (LeaseState::new(), OrderState::new());
     lease(&mut leases, engines(), 1, None);
     let run = open_run(&mut orders, &leases, 1);
     lease(&mut leases, engines(), 2, Some(1));
     let grant = grant(2, NOW);
     let OrderStep::Intend(taken_over) = run.next_step(NOW, Some(&grant), &orders) else {
-        panic!("the order is not taken over");
+        panic!("the order was not taken over");
     };
     assert_eq!(taken_over.order, order("o1"));
     orders.intend(NOW, LogOffset::new(91), &taken_over, &leases);
@@ -195,13 +194,13 @@
     );
 }
 
-/// An engine ignores fencing numbers, and a predecessor may still be about to
-/// send. A new order would be undone by the late one.
+/// An engine ignores fencing numbers, and an order of the predecessor may still
+/// arrive. A new order would be undone by the late one.
 #[test]
-fn nothing_new_is_ordered_from_an_engine_that_ignores_fencing_until_late_orders_have_timed_out() {
+fn a_new_order_to_an_engine_without_fencing_waits_until_late_orders_have_timed_out() {
     let orders = OrderState::new();
     let body = set_role(EngineRole::Prefill);
-    let run = OrderRun::new(order("o1"), body, false, rule());
+    let run = OrderRun::new(order("o1"), body, false, timing());
     let grant = grant(1, NOW);
     let step_at = |at: ClockTime| run.next_step(at, Some(&grant), &orders);
     let early = step_at(NOW + TimeSpan::from_millis(7_999));
@@ -210,10 +209,10 @@
     assert!(matches!(late, OrderStep::Intend(_)), "{late:?}");
 }
 
-/// The lease ends sooner than an order may take: its sender would no longer be in
-/// charge when the order arrives.
+/// The lease ends before the order would time out: its sender might no longer hold
+/// the duty when the order arrives.
 #[test]
-fn an_order_is_not_sent_when_the_lease_may_end_under_way() {
+fn an_order_is_not_sent_if_the_lease_may_end_in_transit() {
     let (mut leases, mut orders) = (LeaseState::new(), OrderState::new());
     lease(&mut leases, engines(), 1, None);
     let mut run = open_run(&mut orders, &leases, 1);
--- a/crates/core/tests/orders_schedules.rs
+++ b/crates/core/tests/orders_schedules.rs
@@ -1,9 +1,9 @@
-//! Orders under random schedules: several controllers share one duty over a
-//! log that loses, doubles and delays appends, while any of them may be frozen
-//! at any step and the engine may crash.
+//! Orders under random schedules: several controllers compete for one duty over a
+//! log that loses, duplicates and delays appends, while any controller may be
+//! frozen at any step and the engine may crash.
 //!
 //! The seeds are fixed. `BLUEBELL_SEEDS=N cargo test -p bluebell-core --test
-//! orders_schedules` runs N further ones.
+//! orders_schedules` runs N additional seeds.
 
 use std::collections::BTreeSet;
 
@@ -18,14 +18,14 @@
 use rand::Rng;
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng};
 
-const TICK: u64 = 50;
-const END: u64 = 240_000;
-const CHANGE: u64 = 500;
+const TICK_MS: u64 = 50;
+const END_MS: u64 = 240_000;
+const CHANGE_MS: u64 = 500;
 const LEASE: TimeSpan = TimeSpan::from_secs(6);
 const MARGIN: TimeSpan = TimeSpan::from_secs(1);
 const TIMEOUT: TimeSpan = TimeSpan::from_secs(1);
 
-fn timing() -> LeaseTiming {
+fn lease_timing() -> LeaseTiming {
     LeaseTiming {
         duration: LEASE,
         margin: MARGIN,
@@ -35,7 +35,7 @@
     }
 }
 
-fn rule() -> OrderTiming {
+fn order_timing() -> OrderTiming {
     OrderTiming {
         timeout: TIMEOUT,
         retry_pause: TimeSpan::from_millis(250),
@@ -51,13 +51,14 @@
     EndpointId::new("engine-1").expect("the name is valid")
 }
 
-/// What a schedule may contain besides lost, doubled and late appends.
+/// The faults of a schedule besides lost, duplicated and late appends.
 #[derive(Clone, Copy)]
-struct Weather {
+struct ScheduleFaults {
     checks_fencing: bool,
     crashes: bool,
-    /// The longest freeze between a sender's look at the clock and its socket.
-    late_sends: u64,
+    /// The longest freeze between a sender's check of the clock and its write to the
+    /// socket, in milliseconds; 0 for none.
+    max_send_delay: u64,
 }
 
 struct Engine {
@@ -80,8 +81,8 @@
         })
     }
 
-    /// Takes an order; answers whether it has an effect.
-    fn take(&mut self, now: u64, sent: &SentOrder) -> (SendAnswer, bool) {
+    /// Receives an order. Returns the answer and whether the order has an effect.
+    fn receive(&mut self, now: u64, sent: &SentOrder) -> (SendAnswer, bool) {
         if self.last.as_ref() == Some(&sent.order) {
             return (SendAnswer::Accepted, false);
         }
@@ -96,7 +97,7 @@
         }
         self.fence = self.fence.max(sent.fence);
         self.last = Some(sent.order.clone());
-        self.busy_until = now + CHANGE;
+        self.busy_until = now + CHANGE_MS;
         (SendAnswer::Accepted, true)
     }
 
@@ -129,7 +130,7 @@
     clock_origin: u64,
     clock_rate: u64,
     view: FleetView,
-    keeper: LeaseManager,
+    lease_manager: LeaseManager,
     sequence: u64,
     orders: u64,
     run: Option<OrderRun>,
@@ -146,7 +147,7 @@
             clock_origin: rng.random_range(0..1_000_000),
             clock_rate: rng.random_range(980..=1_020),
             view: FleetView::new(),
-            keeper: LeaseManager::new(InstanceId::new(name).expect("valid"), timing()),
+            lease_manager: LeaseManager::new(InstanceId::new(name).expect("valid"), lease_timing()),
             sequence: 0,
             orders: 0,
             run: None,
@@ -155,22 +156,23 @@
         }
     }
 
-    /// Its own clock: another origin, and up to two percent faster or slower.
+    /// The controller's clock at `time`: its origin differs from that of the others,
+    /// and it runs up to two percent faster or slower.
     fn now(&self, time: u64) -> ClockTime {
         ClockTime::from_millis(self.clock_origin + time * self.clock_rate / 1_000)
     }
 
     fn grant(&self, time: u64) -> Option<DutyGrant> {
-        self.keeper
+        self.lease_manager
             .grant(self.now(time), &self.view.leases, &duty())
     }
 }
 
-struct World {
+struct Simulation {
     rng: ChaCha8Rng,
-    weather: Weather,
+    faults: ScheduleFaults,
     log: Vec<LogEntry>,
-    truth: FleetView,
+    reference_view: FleetView,
     appends: Vec<(u64, LogEntry)>,
     sends: Vec<(u64, SentOrder)>,
     engine: Engine,
@@ -179,17 +181,17 @@
     failure: Option<String>,
 }
 
-impl World {
-    fn new(seed: u64, weather: Weather) -> World {
-        World {
+impl Simulation {
+    fn new(seed: u64, faults: ScheduleFaults) -> Simulation {
+        Simulation {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            weather,
+            faults,
             log: Vec::new(),
-            truth: FleetView::new(),
+            reference_view: FleetView::new(),
             appends: Vec::new(),
             sends: Vec::new(),
             engine: Engine {
-                checks_fencing: weather.checks_fencing,
+                checks_fencing: faults.checks_fencing,
                 incarnation: 1,
                 fence: LogOffset::START,
                 role: EngineRole::Mixed,
@@ -214,13 +216,13 @@
         let mut controllers: Vec<Controller> = (0..3)
             .map(|index| Controller::new(index, &mut self.rng))
             .collect();
-        for time in (0..END).step_by(TICK as usize) {
+        for time in (0..END_MS).step_by(TICK_MS as usize) {
             self.deliver(time);
-            if self.weather.crashes && self.chance(1) {
+            if self.faults.crashes && self.chance(1) {
                 self.engine.crash();
             }
             for controller in &mut controllers {
-                self.turn(time, controller);
+                self.run_step(time, controller);
             }
             let granted = controllers.iter().filter(|c| c.grant(time).is_some());
             let granted: Vec<usize> = granted.map(|c| c.rank).collect();
@@ -230,23 +232,24 @@
             }
         }
         for controller in &mut controllers {
-            self.compare(controller);
+            self.compare_views(controller);
         }
     }
 
-    /// A reader that was frozen and one that never was must agree on everything
-    /// but the time of reading, and so must one that starts from a checkpoint.
-    fn compare(&mut self, controller: &mut Controller) {
+    /// A reader that was frozen and one that never was must agree on everything but
+    /// the time of reading, and so must a reader that starts from a checkpoint.
+    fn compare_views(&mut self, controller: &mut Controller) {
         for entry in &self.log {
-            controller.view.apply(controller.now(END), entry);
+            controller.view.apply(controller.now(END_MS), entry);
         }
         let mut restored = FleetView::new();
-        for item in self.truth.checkpoint() {
+        for item in self.reference_view.checkpoint() {
             restored.leases.restore(ClockTime::default(), &item);
             restored.orders.restore(ClockTime::default(), &item);
         }
         for view in [&controller.view, &restored] {
-            let same = view.orders == self.truth.orders && holders(view) == holders(&self.truth);
+            let same = view.orders == self.reference_view.orders
+                && holders(view) == holders(&self.reference_view);
             if !same {
                 self.failure.get_or_insert("two readers differ".to_string());
             }
@@ -256,23 +259,24 @@
     fn deliver(&mut self, time: u64) {
         for (_, mut entry) in self.appends.extract_if(.., |(at, _)| *at <= time) {
             entry.offset = LogOffset::new(self.log.len() as u64);
-            self.truth.apply(ClockTime::from_millis(time), &entry);
+            self.reference_view
+                .apply(ClockTime::from_millis(time), &entry);
             self.log.push(entry);
         }
         let due: Vec<_> = self.sends.extract_if(.., |(at, _)| *at <= time).collect();
         for (_, sent) in due {
-            self.reach_engine(time, &sent);
+            self.deliver_to_engine(time, &sent);
         }
     }
 
-    /// Judges each effect: its order must be the open one, and no effect of an
-    /// earlier holder may come after one of a later holder.
-    fn reach_engine(&mut self, time: u64, sent: &SentOrder) -> SendAnswer {
-        let (answer, effect) = self.engine.take(time, sent);
+    /// Delivers an order to the engine and checks its effect: the order must be
+    /// open, and no effect of an earlier holder may follow one of a later holder.
+    fn deliver_to_engine(&mut self, time: u64, sent: &SentOrder) -> SendAnswer {
+        let (answer, effect) = self.engine.receive(time, sent);
         if !effect {
             return answer;
         }
-        if self.truth.orders.open(&sent.order).is_none() {
+        if self.reference_view.orders.open(&sent.order).is_none() {
             self.fail(time, &format!("{} took effect while not open", sent.order));
         }
         if self.effects.last().is_some_and(|last| sent.fence < *last) {
@@ -285,7 +289,7 @@
         answer
     }
 
-    fn turn(&mut self, time: u64, controller: &mut Controller) {
+    fn run_step(&mut self, time: u64, controller: &mut Controller) {
         if time < controller.frozen_until {
             return;
         }
@@ -307,13 +311,16 @@
 
     fn decide(&mut self, time: u64, controller: &mut Controller) {
         let now = controller.now(time);
-        let seat = DutyCandidacy {
+        let candidacy = DutyCandidacy {
             duty: duty(),
             rank: controller.rank,
             busy: controller.run.is_some(),
         };
         let (leases, next) = (&controller.view.leases, controller.view.next_offset());
-        if let Some(record) = controller.keeper.next_record(now, leases, next, &seat) {
+        if let Some(record) = controller
+            .lease_manager
+            .next_record(now, leases, next, &candidacy)
+        {
             return self.append(time, controller, LogRecord::Lease(record));
         }
         let Some(grant) = controller.grant(time) else {
@@ -337,20 +344,20 @@
                 run.note_observation(now, &ObservedEffect::Unreachable);
             }
             OrderStep::Observe => run.note_observation(now, &self.engine.view(time)),
-            OrderStep::Send => controller.pending = Some((time + TICK, PendingAction::Send)),
+            OrderStep::Send => controller.pending = Some((time + TICK_MS, PendingAction::Send)),
             OrderStep::Wait(_) => {}
             OrderStep::Stop(_) => controller.run = None,
         }
     }
 
     fn next_order(&mut self, controller: &mut Controller, grant: &DutyGrant) -> Option<OrderRun> {
-        let checks = self.weather.checks_fencing;
+        let checks = self.faults.checks_fencing;
         if let Some((order, open)) = controller.view.orders.open_orders().next() {
             return Some(OrderRun::new(
                 order.clone(),
                 open.body.clone(),
                 checks,
-                rule(),
+                order_timing(),
             ));
         }
         if !self.chance(200) {
@@ -364,13 +371,18 @@
         };
         let endpoint = engine_id();
         let body = OrderBody::SetRole { endpoint, role };
-        Some(OrderRun::new(order.expect("valid"), body, checks, rule()))
+        Some(OrderRun::new(
+            order.expect("valid"),
+            body,
+            checks,
+            order_timing(),
+        ))
     }
 
     fn append(&mut self, time: u64, controller: &mut Controller, record: LogRecord) {
         let sent_at = controller.now(time);
         let action = PendingAction::Append { record, sent_at };
-        controller.pending = Some((time + TICK, action));
+        controller.pending = Some((time + TICK_MS, action));
     }
 
     fn act(&mut self, time: u64, controller: &mut Controller, action: PendingAction) {
@@ -432,7 +444,7 @@
         }
         match (record, &mut controller.run) {
             (LogRecord::Intent(_), Some(run)) => run.note_intent(),
-            (LogRecord::Lease(_), _) => controller.keeper.appended(&duty(), sent_at, offset),
+            (LogRecord::Lease(_), _) => controller.lease_manager.appended(&duty(), sent_at, offset),
             _ => {}
         }
     }
@@ -449,9 +461,9 @@
             fence: grant.fence,
             body: run.body().clone(),
         };
-        if self.weather.late_sends > 0 && self.chance(100) {
-            let longest = self.weather.late_sends;
-            let late = time + self.rng.random_range(longest / 2..longest);
+        if self.faults.max_send_delay > 0 && self.chance(100) {
+            let max_delay = self.faults.max_send_delay;
+            let late = time + self.rng.random_range(max_delay / 2..max_delay);
             self.sends.push((late, sent));
             controller.frozen_until = late;
             let answer = PendingAction::Answer(SendAnswer::Unknown);
@@ -465,14 +477,14 @@
                 SendAnswer::Unknown
             }
             1 => {
-                self.reach_engine(time, &sent);
+                self.deliver_to_engine(time, &sent);
                 SendAnswer::Unknown
             }
-            _ => self.reach_engine(time, &sent),
+            _ => self.deliver_to_engine(time, &sent),
         };
         let answered = match answer {
             SendAnswer::Unknown => time + TIMEOUT.as_millis(),
-            _ => time + TICK,
+            _ => time + TICK_MS,
         };
         controller.pending = Some((answered, PendingAction::Answer(answer)));
     }
@@ -485,67 +497,71 @@
 }
 
 fn seeds() -> std::ops::Range<u64> {
-    let further = std::env::var("BLUEBELL_SEEDS").ok();
-    let further = further.and_then(|text| text.parse().ok()).unwrap_or(0);
-    0..60 + further
+    let additional = std::env::var("BLUEBELL_SEEDS").ok();
+    let additional = additional.and_then(|text| text.parse().ok()).unwrap_or(0);
+    0..60 + additional
 }
 
-fn check(weather: Weather) {
+fn check(faults: ScheduleFaults) {
     let mut effects = 0;
-    let mut changes_of_holder = 0;
+    let mut holder_changes = 0;
     for seed in seeds() {
-        let mut world = World::new(seed, weather);
-        world.run();
-        assert_eq!(world.failure, None, "seed {seed}");
-        effects += world.effects.len();
-        changes_of_holder += world.holders.len();
+        let mut simulation = Simulation::new(seed, faults);
+        simulation.run();
+        assert_eq!(simulation.failure, None, "seed {seed}");
+        effects += simulation.effects.len();
+        holder_changes += simulation.holders.len();
     }
     assert!(effects > 100, "only {effects} orders took effect");
-    assert!(changes_of_holder > 100, "the duty hardly ever moved");
+    assert!(
+        holder_changes > 100,
+        "the duty changed its holder only {holder_changes} times"
+    );
 }
 
-/// A controller is frozen at any step, the log loses and doubles its appends,
-/// and the engine crashes. Were two controllers in charge at once, an engine
-/// would change its role back and forth and callers' work would be cut.
+/// Controllers are frozen at any step, the log loses and duplicates appends, and
+/// the engine crashes. If two controllers held the duty at once, the engine would
+/// change its role back and forth and callers' requests would be aborted.
 #[test]
-fn an_engine_that_checks_fencing_obeys_one_holder_at_a_time() {
-    check(Weather {
+fn an_engine_that_checks_fencing_executes_orders_of_one_holder_at_a_time() {
+    check(ScheduleFaults {
         checks_fencing: true,
         crashes: true,
-        late_sends: 0,
+        max_send_delay: 0,
     });
 }
 
-/// The same for an engine that obeys whoever sends.
+/// The same for an engine that executes orders of any sender.
 #[test]
-fn an_engine_that_ignores_fencing_obeys_one_holder_at_a_time() {
-    check(Weather {
+fn an_engine_that_ignores_fencing_executes_orders_of_one_holder_at_a_time() {
+    check(ScheduleFaults {
         checks_fencing: false,
         crashes: true,
-        late_sends: 0,
+        max_send_delay: 0,
     });
 }
 
-/// A holder is frozen for half a minute between its last look at the clock and
-/// the socket, and its order leaves long after a successor has taken over.
+/// A holder is frozen for up to half a minute between its last check of the clock
+/// and its write to the socket, so its order is sent long after a successor has
+/// taken the duty over.
 #[test]
 fn a_late_order_has_no_effect_on_an_engine_that_checks_fencing() {
-    check(Weather {
+    check(ScheduleFaults {
         checks_fencing: true,
         crashes: false,
-        late_sends: 30_000,
+        max_send_delay: 30_000,
     });
 }
 
-/// The same for an engine that obeys whoever sends: no sender can close this
-/// window, but a freeze shorter than lease, twice the order timeout and twice
-/// the margin does no harm.
+/// The same for an engine that executes orders of any sender. No sender can rule
+/// out a late order completely, but a freeze shorter than the lease, twice the
+/// order timeout and twice the margin has no effect.
 #[test]
-fn a_late_order_within_the_stated_window_has_no_effect_on_an_engine_that_ignores_fencing() {
+fn a_late_order_within_the_window_has_no_effect_on_an_engine_that_ignores_fencing() {
     let window = LEASE + TIMEOUT + TIMEOUT + MARGIN + MARGIN;
-    check(Weather {
+    check(ScheduleFaults {
         checks_fencing: false,
         crashes: false,
-        late_sends: window.as_millis() * 95 / 100,
+        max_send_delay: window.as_millis() * 95 / 100,
     });
 }
