--- a/crates/entry/src/model_run/attempt.rs
+++ b/crates/entry/src/model_run/attempt.rs
@@ -1,72 +1,75 @@
-//! One attempt of a model request, and how to go on after it was lost.
+//! Runs one attempt of a model request and decides how to continue after its loss.
 
 use bluebell_core::{attempts::SendPermit, routing::RouteOutcome};
 use bluebell_endpoint::{EndpointError, api::GenerateRequest, client::ProbeResult};
 
-use super::{AttemptEnd, AttemptLoss, ModelRun};
+use super::{AttemptLoss, AttemptOutcome, ModelRun};
 use crate::{
     context::RoutedAttempt,
     refusal::{Refusal, RefusalCode},
 };
 
 impl ModelRun {
-    pub(super) async fn attempt(&mut self, routed: RoutedAttempt) -> Result<AttemptEnd, Refusal> {
+    pub(super) async fn attempt(
+        &mut self,
+        routed: RoutedAttempt,
+    ) -> Result<AttemptOutcome, Refusal> {
         let chosen = routed.chosen;
         if self.context.is_leaving(&chosen.endpoint) {
-            // A mark came while the prompt was handed over.
-            return Ok(AttemptEnd::ChooseAgain);
+            // The endpoint was marked for draining during the prefill handover.
+            return Ok(AttemptOutcome::Reroute);
         }
-        self.route = Some(routed.ticket);
+        self.route_ticket = Some(routed.ticket);
         let permit = self
             .attempts
             .permit_send(&chosen.endpoint)
             .map_err(|error| self.refusal(RefusalCode::Internal, error.to_string()))?;
         self.context.metrics.attempts.inc();
-        self.tries += 1;
+        self.attempt_count += 1;
         self.answer.begin_attempt(permit.attempt());
         let work = self.generate_request(&permit);
         let client = chosen.client.clone();
         self.chosen = Some(chosen);
-        let limit = self.silence_limit();
+        let timeout = self.progress_timeout();
         let opened = client.generate(&permit, &work);
-        let opened = tokio::time::timeout(limit.as_duration(), opened).await;
+        let opened = tokio::time::timeout(timeout.as_duration(), opened).await;
         let items = match opened {
             Ok(Ok(items)) => items,
             Ok(Err(EndpointError::NotSent(message))) => {
                 self.attempts.not_sent(permit);
-                self.route_ended(RouteOutcome::Failed);
-                return Ok(self.try_elsewhere("failed to connect", &message));
+                self.end_route(RouteOutcome::Failed);
+                return Ok(self.retry_on_another("failed to connect", &message));
             }
             Ok(Err(EndpointError::Refused { status, message })) => {
                 self.attempts.refused_before_running(permit);
-                self.route_ended(RouteOutcome::Refused);
+                self.end_route(RouteOutcome::Refused);
                 let message = format!("status {status}: {message}");
-                return Ok(self.try_elsewhere("refused before running", &message));
+                return Ok(self.retry_on_another("refused before running", &message));
             }
             Ok(Err(EndpointError::Lost(message))) => {
-                return self.after_loss(AttemptLoss::Broken(message)).await;
+                return self.handle_loss(AttemptLoss::Broken(message)).await;
             }
-            Err(_) => return self.after_loss(AttemptLoss::Silent(limit)).await,
+            Err(_) => return self.handle_loss(AttemptLoss::TimedOut(timeout)).await,
         };
         self.attempts.answer_started();
-        match self.read(items).await? {
+        match self.read_items(items).await? {
             Ok(end) => {
-                self.route_ended(RouteOutcome::Answered);
-                self.clear_suspicion().await;
-                Ok(AttemptEnd::Whole(end))
+                self.end_route(RouteOutcome::Answered);
+                self.clear_suspect().await;
+                Ok(AttemptOutcome::Complete(end))
             }
-            Err(loss) => self.after_loss(loss).await,
+            Err(loss) => self.handle_loss(loss).await,
         }
     }
 
-    pub(super) fn route_ended(&mut self, outcome: RouteOutcome) {
-        if let Some(ticket) = self.route.take() {
+    pub(super) fn end_route(&mut self, outcome: RouteOutcome) {
+        if let Some(ticket) = self.route_ticket.take() {
             ticket.ended(outcome);
         }
     }
 
-    pub(super) async fn clear_suspicion(&mut self) {
-        let (Some(_), Some(chosen)) = (self.trial.take(), &self.chosen) else {
+    pub(super) async fn clear_suspect(&mut self) {
+        let (Some(_), Some(chosen)) = (self.trial_ticket.take(), &self.chosen) else {
             return;
         };
         let cleared = self
@@ -85,36 +88,39 @@
             max_tokens: self.work.max_tokens,
             priority: self.work.priority,
             prefill_only: false,
-            import: self.import.clone(),
+            import: self.kv_import.clone(),
         }
     }
 
-    pub(super) fn try_elsewhere(&mut self, decision: &str, reason: &str) -> AttemptEnd {
+    pub(super) fn retry_on_another(&mut self, decision: &str, reason: &str) -> AttemptOutcome {
         if let Some(chosen) = self.chosen.take() {
             let subjects = [self.attempts.request().as_str(), chosen.endpoint.as_str()];
             self.context.decided(&subjects, decision, reason);
-            self.avoided.insert(chosen.endpoint.clone());
+            self.failed.insert(chosen.endpoint.clone());
         }
-        AttemptEnd::GoOn
+        AttemptOutcome::Retry
     }
 
-    /// Decides how to go on after an attempt was lost. A silent connection is
-    /// told from a dead endpoint by a probe on a new one: if that works, only
-    /// the old connections are given up, and the endpoint may be used again.
-    pub(super) async fn after_loss(&mut self, loss: AttemptLoss) -> Result<AttemptEnd, Refusal> {
-        if matches!(loss, AttemptLoss::Silent(_)) {
-            // A deadline that passed says nothing against the endpoint, which
-            // still hears the cancel when the run ends.
+    /// Decides how to continue after an attempt was lost. A probe on a new connection
+    /// distinguishes an unresponsive connection from a dead endpoint: if the probe
+    /// succeeds, only the old connections are closed and the endpoint may be used again.
+    pub(super) async fn handle_loss(
+        &mut self,
+        loss: AttemptLoss,
+    ) -> Result<AttemptOutcome, Refusal> {
+        if matches!(loss, AttemptLoss::TimedOut(_)) {
+            // A missed deadline is no evidence of a fault of the endpoint, which is
+            // still sent the cancellation when the run ends.
             self.check_deadline()?;
         }
         let Some(chosen) = self.chosen.take() else {
-            return Ok(AttemptEnd::GoOn);
+            return Ok(AttemptOutcome::Retry);
         };
         self.attempts.connection_lost();
-        self.route_ended(RouteOutcome::Failed);
+        self.end_route(RouteOutcome::Failed);
         let reason = match &loss {
             AttemptLoss::Broken(message) => message.clone(),
-            AttemptLoss::Silent(limit) => format!("nothing came for {limit}"),
+            AttemptLoss::TimedOut(timeout) => format!("no item within {timeout}"),
         };
         let probe = chosen.client.probe().await;
         let subjects = [self.attempts.request().as_str(), chosen.endpoint.as_str()];
@@ -126,16 +132,16 @@
             noted.await;
         }
         match probe {
-            // The engine may still be at work for the old connection; it must
-            // hear the cancel before it hears of the next attempt.
+            // The engine may still be generating for the old connection; it must
+            // receive the cancellation before the next attempt.
             ProbeResult::Healthy => {
                 drop(chosen.client.cancel(self.attempts.request()).await);
-                self.lossy.insert(chosen.endpoint.clone());
+                self.lost_but_healthy.insert(chosen.endpoint.clone());
             }
             ProbeResult::ConnectionRefused | ProbeResult::Unreachable => {
-                self.avoided.insert(chosen.endpoint.clone());
+                self.failed.insert(chosen.endpoint.clone());
             }
         }
-        Ok(AttemptEnd::GoOn)
+        Ok(AttemptOutcome::Retry)
     }
 }
--- a/crates/entry/src/model_run/mod.rs
+++ b/crates/entry/src/model_run/mod.rs
@@ -1,9 +1,9 @@
-//! One model request, from its first attempt to its end.
+//! Runs one model request, from its admission to its end.
 //!
-//! The run is a task of its own, because Rocket does not drop a handler whose
-//! caller has gone. It puts the answer together from numbered tokens, goes on
-//! elsewhere with what was delivered when an endpoint is lost, and tells the
-//! engine when nobody waits any more.
+//! The run is a separate task, because Rocket does not drop a handler whose caller has
+//! disconnected. It assembles the answer from numbered tokens, resumes on another
+//! endpoint from the delivered tokens when an endpoint is lost, and cancels the request
+//! at the engine when the caller no longer waits.
 
 mod attempt;
 mod choice;
@@ -34,38 +34,38 @@
     traffic::{RouteTicket, WorkTicket},
 };
 
-/// How many bytes of a prompt make a token, on average.
+/// Average length of a token of a prompt, in bytes.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// What a model is asked.
+/// The parameters of a model request.
 #[derive(Clone, Debug)]
 pub struct ModelWork {
-    /// Whose request it is.
+    /// The organisation that sent the request.
     pub organisation: OrganisationId,
-    /// The model.
+    /// The model to run.
     pub model: ModelName,
     /// The prompt.
     pub prompt: String,
-    /// The most output tokens.
+    /// Maximum number of output tokens.
     pub max_tokens: TokenCount,
-    /// Whether a person waits.
+    /// Whether the request is interactive or deferrable.
     pub priority: WorkPriority,
-    /// When the first token must be there.
+    /// Time by which the first token must arrive.
     pub deadline: ClockTime,
-    /// The longest silence between tokens.
+    /// Maximum time between two tokens.
     pub progress_limit: TimeSpan,
-    /// Tells the request from others after a crash.
+    /// Identifies repeats of the request, to find requests that crash endpoints.
     pub fingerprint: RequestFingerprint,
-    /// The service.
+    /// The service that was called.
     pub service: ServiceName,
-    /// Whether capacity that can be reclaimed will do.
+    /// Whether the request may run on capacity that the platform can reclaim.
     pub preemptible: bool,
-    /// What the organisation may have.
+    /// The limits of the organisation.
     pub limits: OrganisationLimits,
 }
 
 impl ModelWork {
-    /// The prompt's length, estimated; engines count it exactly.
+    /// Estimates the length of the prompt in tokens; engines count it exactly.
     fn prompt_tokens(&self) -> TokenCount {
         TokenCount::new(self.prompt.len() as u64 / BYTES_PER_TOKEN + 1)
     }
@@ -75,41 +75,43 @@
     }
 }
 
-/// How a whole answer ended.
+/// The end of a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerEnd {
-    /// Why.
+    /// Why the engine ended the answer.
     pub finish: FinishReason,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: TokenCount,
-    /// Tokens of the prompt that an engine had cached.
+    /// Number of tokens of the prompt that the engine had cached.
     pub cached_tokens: TokenCount,
 }
 
-/// What the run tells the answer's body.
+/// An event of the run, sent to the response body.
 #[derive(Clone, Debug)]
 pub enum AnswerEvent {
     /// The next token.
     Token(String),
-    /// The answer is whole.
+    /// The answer is complete.
     End(AnswerEnd),
-    /// The answer won't be whole.
+    /// The answer failed and stays incomplete.
     Failed(Refusal),
 }
 
-/// How one attempt ended.
-enum AttemptEnd {
-    Whole(AnswerEnd),
-    GoOn,
-    ChooseAgain,
+/// The outcome of one attempt.
+enum AttemptOutcome {
+    Complete(AnswerEnd),
+    /// Another attempt follows if the retry limits allow it.
+    Retry,
+    /// The attempt was not sent, because its endpoint is draining; a new one is chosen.
+    Reroute,
 }
 
-/// Why an attempt brought no whole answer.
+/// Why an attempt did not complete the answer.
 enum AttemptLoss {
     /// The connection or the answer was lost.
     Broken(String),
-    /// Nothing came for longer than the limit.
-    Silent(TimeSpan),
+    /// No item arrived within this time.
+    TimedOut(TimeSpan),
 }
 
 /// One model request in progress.
@@ -120,19 +122,21 @@
     answer: AnswerAssembly,
     events: mpsc::Sender<AnswerEvent>,
     chosen: Option<ChosenEndpoint>,
-    ticket: Option<WorkTicket>,
-    route: Option<RouteTicket>,
-    trial: Option<TrialTicket>,
-    avoided: BTreeSet<EndpointId>,
-    lossy: BTreeSet<EndpointId>,
-    import: Option<KvHandle>,
-    /// Attempts to answer; handovers of the prompt are not among them.
-    tries: u32,
+    work_ticket: Option<WorkTicket>,
+    route_ticket: Option<RouteTicket>,
+    trial_ticket: Option<TrialTicket>,
+    /// Endpoints that refused an attempt or could not be reached.
+    failed: BTreeSet<EndpointId>,
+    /// Endpoints that lost an attempt but answer on new connections.
+    lost_but_healthy: BTreeSet<EndpointId>,
+    kv_import: Option<KvHandle>,
+    /// Number of attempts so far, without prefills on another engine.
+    attempt_count: u32,
     started: ClockTime,
 }
 
 impl ModelRun {
-    /// A run that tells `events` what comes.
+    /// Creates a run that sends its events to `events`.
     pub fn new(
         context: Arc<EntryContext>,
         work: ModelWork,
@@ -148,34 +152,35 @@
             answer,
             events,
             chosen: None,
-            ticket: None,
-            route: None,
-            trial: None,
-            avoided: BTreeSet::new(),
-            lossy: BTreeSet::new(),
-            import: None,
-            tries: 0,
+            work_ticket: None,
+            route_ticket: None,
+            trial_ticket: None,
+            failed: BTreeSet::new(),
+            lost_but_healthy: BTreeSet::new(),
+            kv_import: None,
+            attempt_count: 0,
             started,
         }
     }
 
-    /// Runs to the end, or until the caller is `gone` or its key is withdrawn.
+    /// Runs until the answer ends, `caller_left` is cancelled or the caller's key is
+    /// withdrawn.
     pub async fn run(
         mut self,
-        gone: CancellationToken,
+        caller_left: CancellationToken,
         ticket: RunningTicket,
         in_flight: InFlightTicket,
     ) {
         let end = tokio::select! {
             biased;
-            () = gone.cancelled() => None,
+            () = caller_left.cancelled() => None,
             () = ticket.lost().cancelled() => {
-                let message = "the key was withdrawn";
+                let message = "the API key was withdrawn";
                 Some(Err(self.refusal(RefusalCode::KeyWithdrawn, message)))
             }
-            end = self.drive() => Some(end),
+            end = self.run_attempts() => Some(end),
         };
-        if let Some(mut ticket) = self.ticket.take() {
+        if let Some(mut ticket) = self.work_ticket.take() {
             ticket.note_delivered(self.answer.tokens().len() as u64);
         }
         match end {
@@ -194,7 +199,7 @@
                 let _ = self.events.send(AnswerEvent::Failed(refusal)).await;
             }
         }
-        self.abandon().await;
+        self.cancel_at_engine().await;
         drop(in_flight);
     }
 
@@ -206,15 +211,15 @@
             .inc();
         let request = self.attempts.request().as_str();
         let reason = format!(
-            "the caller has gone after {} tokens",
+            "the caller disconnected after {} tokens",
             self.answer.tokens().len()
         );
         self.context.decided(&[request], "cancelled", reason);
     }
 
-    /// Tells the engine of the attempt under way, if there is one, that nobody
-    /// waits. Without this it would go on to the answer's end for nobody.
-    async fn abandon(&mut self) {
+    /// Cancels the attempt in progress, if any, at its engine. Otherwise the engine
+    /// would generate the rest of an answer that no caller receives.
+    async fn cancel_at_engine(&mut self) {
         let Some(chosen) = self.chosen.take() else {
             return;
         };
@@ -230,8 +235,8 @@
         Refusal::new(code, message, &self.attempts)
     }
 
-    async fn drive(&mut self) -> Result<AnswerEnd, Refusal> {
-        let ask = AdmissionRequest {
+    async fn run_attempts(&mut self) -> Result<AnswerEnd, Refusal> {
+        let admission = AdmissionRequest {
             request: self.attempts.request().clone(),
             organisation: self.work.organisation.clone(),
             pool: self.work.pool(),
@@ -242,27 +247,27 @@
         };
         let started = self
             .context
-            .start_work(ask, self.work.limits, &self.attempts);
-        self.ticket = Some(started.await?);
+            .start_work(admission, self.work.limits, &self.attempts);
+        self.work_ticket = Some(started.await?);
         let organisation = self.work.organisation.clone();
         self.context.traffic.note_request(&organisation);
         loop {
             let routed = self.choose().await?;
             self.prefill(routed.prefill.as_ref()).await?;
             match self.attempt(routed).await? {
-                AttemptEnd::Whole(end) => return Ok(end),
-                AttemptEnd::GoOn => self.pause_before_retry().await?,
-                AttemptEnd::ChooseAgain => self.trial = None,
+                AttemptOutcome::Complete(end) => return Ok(end),
+                AttemptOutcome::Retry => self.pause_before_retry().await?,
+                AttemptOutcome::Reroute => self.trial_ticket = None,
             }
         }
     }
 
     async fn pause_before_retry(&mut self) -> Result<(), Refusal> {
-        self.trial = None;
+        self.trial_ticket = None;
         match self
             .context
             .traffic
-            .try_retry(&self.work.organisation, self.tries)
+            .try_retry(&self.work.organisation, self.attempt_count)
         {
             RetryDecision::Retry { after, .. } => {
                 tokio::time::sleep(after.as_duration()).await;
--- a/crates/entry/src/plain_run/attempt.rs
+++ b/crates/entry/src/plain_run/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a plain call: where it goes, and how to go on after it was lost.
+//! One attempt of a plain call: chooses its endpoint and handles its loss.
 
 use bluebell_core::{
     attempts::{AttemptPhase, RequestAttempts, SendPermit, WorkKind},
@@ -18,52 +18,54 @@
     refusal::{Refusal, RefusalCode},
 };
 
-/// How one attempt ended.
-pub(super) enum CallEnd {
+/// The outcome of one attempt.
+pub(super) enum CallOutcome {
     Answered(PlainAnswer),
-    /// The connection was lost, but the endpoint answers on a new one.
+    /// The attempt was lost, but the endpoint answers on a new connection.
     LostButHealthy,
+    /// The endpoint could not be reached.
     Failed,
 }
 
-/// Endpoints that attempts of this call were lost on.
+/// Endpoints on which attempts of this call were lost.
 #[derive(Default)]
 pub(super) struct TriedEndpoints {
-    /// They answer on new connections: better than none.
-    pub lossy: Vec<EndpointId>,
+    /// Endpoints that answer on new connections; used again if there is no other.
+    pub lost_but_healthy: Vec<EndpointId>,
+    /// Endpoints that could not be reached.
     pub failed: Vec<EndpointId>,
 }
 
 impl PlainRun {
     pub(super) fn choose(&self, tried: &TriedEndpoints) -> Result<RoutedAttempt, Refusal> {
-        let mut ask = RouteRequest {
-            request: self.change(|attempts| attempts.request().clone()),
+        let mut route_request = RouteRequest {
+            request: self.with_attempts(|attempts| attempts.request().clone()),
             pool: RoutePool::Plain(self.work.service.clone()),
             prefix: None,
             prompt_tokens: TokenCount::ZERO,
             priority: self.work.priority,
             repeatable: self.work.kind == WorkKind::Repeatable,
             preemptible: self.work.preemptible,
-            excluded: [tried.failed.as_slice(), &tried.lossy].concat(),
+            excluded: [tried.failed.as_slice(), &tried.lost_but_healthy].concat(),
         };
-        let mut routed = self.context.route(&ask);
-        if routed.is_err() && !tried.lossy.is_empty() {
-            ask.excluded.clone_from(&tried.failed);
-            routed = self.context.route(&ask);
+        let mut routed = self.context.route(&route_request);
+        if routed.is_err() && !tried.lost_but_healthy.is_empty() {
+            route_request.excluded.clone_from(&tried.failed);
+            routed = self.context.route(&route_request);
         }
         routed.map_err(|error| self.refusal(RefusalCode::NoEndpoint, error.to_string()))
     }
 
-    pub(super) async fn attempt(&self, routed: RoutedAttempt) -> Result<CallEnd, Refusal> {
+    pub(super) async fn attempt(&self, routed: RoutedAttempt) -> Result<CallOutcome, Refusal> {
         let RoutedAttempt { chosen, ticket, .. } = routed;
         let permit = self
-            .change(|attempts| attempts.permit_send(&chosen.endpoint))
+            .with_attempts(|attempts| attempts.permit_send(&chosen.endpoint))
             .map_err(|error| self.refusal(RefusalCode::EndpointLost, error.to_string()))?;
         self.context.metrics.attempts.inc();
-        let error = match self.call(&chosen, &permit).await {
+        let error = match self.send_call(&chosen, &permit).await {
             Ok(answer) => {
                 ticket.ended(RouteOutcome::Answered);
-                return Ok(CallEnd::Answered(answer));
+                return Ok(CallOutcome::Answered(answer));
             }
             Err(error) => error,
         };
@@ -72,25 +74,25 @@
         self.context
             .decided(&subjects, "attempt failed", error.to_string());
         if matches!(error, EndpointError::NotSent(_)) {
-            self.change(|attempts| attempts.not_sent(permit));
-            return Ok(CallEnd::Failed);
+            self.with_attempts(|attempts| attempts.not_sent(permit));
+            return Ok(CallOutcome::Failed);
         }
-        self.change(RequestAttempts::connection_lost);
-        let probe = self.after_loss(&chosen).await;
-        if self.change(|attempts| *attempts.phase() == AttemptPhase::Done) {
+        self.with_attempts(RequestAttempts::connection_lost);
+        let probe = self.handle_loss(&chosen).await;
+        if self.with_attempts(|attempts| *attempts.phase() == AttemptPhase::Done) {
             let message =
-                format!("the endpoint was lost, and the call may not be repeated: {error}");
+                format!("the endpoint was lost, and the call must not be repeated: {error}");
             return Err(self.refusal(RefusalCode::EndpointLost, message));
         }
         Ok(match probe {
-            ProbeResult::Healthy => CallEnd::LostButHealthy,
-            ProbeResult::ConnectionRefused | ProbeResult::Unreachable => CallEnd::Failed,
+            ProbeResult::Healthy => CallOutcome::LostButHealthy,
+            ProbeResult::ConnectionRefused | ProbeResult::Unreachable => CallOutcome::Failed,
         })
     }
 
-    /// Sends the call. A kept connection may have gone silent for good, so a call
-    /// that may be repeated does not wait on it until its deadline.
-    pub(super) async fn call(
+    /// Sends the call. A pooled connection may have become unresponsive, so a repeatable
+    /// call waits for its answer only for the progress limit, not until its deadline.
+    pub(super) async fn send_call(
         &self,
         chosen: &ChosenEndpoint,
         permit: &SendPermit,
@@ -100,13 +102,13 @@
         if self.work.kind == WorkKind::AtMostOnce {
             return call.await;
         }
-        let limit = self.work.progress_limit;
-        let silent = |_| Err(EndpointError::Lost(format!("nothing came for {limit}")));
-        let answer = tokio::time::timeout(limit.as_duration(), call).await;
-        answer.unwrap_or_else(silent)
+        let timeout = self.work.progress_limit;
+        let timed_out = |_| Err(EndpointError::Lost(format!("no answer within {timeout}")));
+        let answer = tokio::time::timeout(timeout.as_duration(), call).await;
+        answer.unwrap_or_else(timed_out)
     }
 
-    pub(super) async fn after_loss(&self, chosen: &ChosenEndpoint) -> ProbeResult {
+    pub(super) async fn handle_loss(&self, chosen: &ChosenEndpoint) -> ProbeResult {
         chosen.client.discard_connections();
         let probe = chosen.client.probe().await;
         if self.context.has_crashed(chosen, probe).await {
--- a/crates/entry/src/plain_run/claim.rs
+++ b/crates/entry/src/plain_run/claim.rs
@@ -1,4 +1,4 @@
-//! The claim of a call's idempotency key, from before it is sent to its settlement.
+//! The claim of a call's idempotency key, from before the call is sent to its settlement.
 
 use std::sync::atomic::Ordering;
 
@@ -17,8 +17,8 @@
 };
 
 impl PlainRun {
-    /// Records what became of the claimed action. If the claim turned out not to
-    /// be the standing one, readers pass over the settlement.
+    /// Records the outcome of the claimed action. If another claim of the key is the
+    /// valid one, readers of the log ignore the settlement.
     pub(super) fn settle(&self, end: &Result<CallAnswer, Refusal>) {
         let claimed = self.claimed.load(Ordering::Relaxed);
         let Some(claim) = self.claim.as_ref().filter(|_| claimed) else {
@@ -26,8 +26,8 @@
         };
         let result = match end {
             Ok(answer) if answer.replayed => return,
-            Ok(answer) => self.recorded(&answer.answer),
-            Err(_) => match self.change(|attempts| attempts.outcome()) {
+            Ok(answer) => self.settled_result(&answer.answer),
+            Err(_) => match self.with_attempts(|attempts| attempts.outcome()) {
                 RunOutcome::NotRun(_) => SettledResult::NotRun,
                 RunOutcome::Unknown => SettledResult::Unknown,
             },
@@ -35,10 +35,10 @@
         self.context.claims.settle(claim, result);
     }
 
-    pub(super) fn recorded(&self, answer: &PlainAnswer) -> SettledResult {
+    pub(super) fn settled_result(&self, answer: &PlainAnswer) -> SettledResult {
         let limit = self.context.settings.requests.kept_answer.count() as usize;
-        let short = answer.body.len() <= limit;
-        let body = short.then(|| String::from_utf8(answer.body.to_vec()).ok());
+        let fits = answer.body.len() <= limit;
+        let body = fits.then(|| String::from_utf8(answer.body.to_vec()).ok());
         SettledResult::Answered {
             status: answer.status,
             content_type: answer.content_type.clone().unwrap_or_default(),
@@ -46,15 +46,15 @@
         }
     }
 
-    /// Claims the key. Answers an earlier request's outcome, or nothing if this
-    /// request may send.
+    /// Claims the key. Returns the recorded answer of an earlier request, or `None` if
+    /// this request may be sent.
     pub(super) async fn claim_key(
         &self,
         claim: &IdempotencyClaim,
     ) -> Result<Option<CallAnswer>, Refusal> {
         match self.verdict(claim) {
             ClaimVerdict::Free => {}
-            verdict => return self.follow_verdict(verdict),
+            verdict => return self.apply_verdict(verdict),
         }
         let unavailable = |message: String| {
             let message = format!("the idempotency key could not be claimed: {message}");
@@ -63,11 +63,13 @@
         self.claimed.store(true, Ordering::Relaxed);
         let appended = self.context.claims.claim(claim.clone()).await;
         let offset = appended.map_err(|error| unavailable(error.to_string()))?;
-        let patience = self.context.settings.requests.claim_patience;
-        if !self.context.node.wait_applied(offset, patience).await {
-            return Err(unavailable(format!("not read back within {patience}")));
+        let timeout = self.context.settings.requests.claim_patience;
+        if !self.context.node.wait_applied(offset, timeout).await {
+            return Err(unavailable(format!(
+                "the claim was not read back from the log within {timeout}"
+            )));
         }
-        self.follow_verdict(self.verdict(claim))
+        self.apply_verdict(self.verdict(claim))
     }
 
     pub(super) fn verdict(&self, claim: &IdempotencyClaim) -> ClaimVerdict {
@@ -81,40 +83,40 @@
         })
     }
 
-    pub(super) fn follow_verdict(
+    pub(super) fn apply_verdict(
         &self,
         verdict: ClaimVerdict,
     ) -> Result<Option<CallAnswer>, Refusal> {
-        let request = self.change(|attempts| attempts.request().to_string());
+        let request = self.with_attempts(|attempts| attempts.request().to_string());
         self.context
             .decided(&[&request], "read the claim", format!("{verdict:?}"));
         match verdict {
             ClaimVerdict::Mine => Ok(None),
-            ClaimVerdict::Recorded(result) => match replay(result) {
+            ClaimVerdict::Recorded(result) => match replayed_answer(result) {
                 Some(answer) => Ok(Some(answer)),
-                None => Err(self.unknown()),
+                None => Err(self.unknown_outcome()),
             },
-            ClaimVerdict::Unknown => Err(self.unknown()),
+            ClaimVerdict::Unknown => Err(self.unknown_outcome()),
             ClaimVerdict::OtherContent => {
                 let message = "the idempotency key was used for another request";
                 Err(self.refusal(RefusalCode::IdempotencyKeyReused, message))
             }
             ClaimVerdict::Free => {
-                let message = "the claim of the idempotency key no longer stands";
+                let message = "the claim of the idempotency key is no longer valid";
                 Err(self.refusal(RefusalCode::ClaimUnavailable, message))
             }
         }
     }
 
-    pub(super) fn unknown(&self) -> Refusal {
+    pub(super) fn unknown_outcome(&self) -> Refusal {
         let message = "an earlier request with this idempotency key may have run";
         let refusal = self.refusal(RefusalCode::OutcomeUnknown, message);
         refusal.with_outcome_unknown()
     }
 }
 
-/// The claim that a call makes with `key`.
-pub(super) fn claim_of(
+/// Builds the claim of `key` for a call.
+pub(super) fn new_claim(
     context: &EntryContext,
     work: &PlainWork,
     attempts: &RequestAttempts,
@@ -129,8 +131,9 @@
     }
 }
 
-/// The recorded answer; none if it was too long to be recorded whole.
-fn replay(result: SettledResult) -> Option<CallAnswer> {
+/// Returns the recorded answer, with an empty body if the body was not recorded, or
+/// `None` if no answer is recorded.
+fn replayed_answer(result: SettledResult) -> Option<CallAnswer> {
     let SettledResult::Answered {
         status,
         content_type,
--- a/crates/entry/src/plain_run/mod.rs
+++ b/crates/entry/src/plain_run/mod.rs
@@ -1,8 +1,8 @@
-//! One call of a plain service, from its claim to its settlement.
+//! Runs one call of a plain service, from the claim of its key to the settlement.
 //!
-//! The run is a task of its own: a call that must run at most once and was sent
-//! goes on when its caller's deadline passes, so that the outcome can still be
-//! recorded for a repeat with the same idempotency key.
+//! The run is a separate task: a call that must run at most once and was sent continues
+//! after its caller's deadline, so that the outcome can still be recorded for a repeat
+//! with the same idempotency key.
 
 mod attempt;
 mod claim;
@@ -25,8 +25,8 @@
 use tokio::sync::oneshot;
 
 use self::{
-    attempt::{CallEnd, TriedEndpoints},
-    claim::claim_of,
+    attempt::{CallOutcome, TriedEndpoints},
+    claim::new_claim,
 };
 use crate::{
     context::{EntryContext, InFlightTicket},
@@ -34,42 +34,43 @@
     running::RunningTicket,
 };
 
-/// How long the answer to a call is waited for after its caller was told that
+/// How long to wait for the answer to a call after its caller received the refusal that
 /// the outcome is unknown.
-const LATE_ANSWER_LIMIT: TimeSpan = TimeSpan::from_secs(60);
+const LATE_ANSWER_TIMEOUT: TimeSpan = TimeSpan::from_secs(60);
 
-/// What a plain service is asked.
+/// The parameters of a call of a plain service.
 #[derive(Clone, Debug)]
 pub struct PlainWork {
-    /// Whose call it is.
+    /// The organisation that sent the call.
     pub organisation: OrganisationId,
-    /// Whether it may be repeated.
+    /// Whether the call may be repeated.
     pub kind: WorkKind,
-    /// When the whole answer must be there.
+    /// Time by which the complete answer must arrive.
     pub deadline: ClockTime,
-    /// How long a call that may be repeated waits for an answer before it is sent
-    /// on a new connection.
+    /// How long a repeatable call waits for an answer before it is sent on a new
+    /// connection.
     pub progress_limit: TimeSpan,
-    /// Tells the call from others.
+    /// Identifies the call's content, for its claim and for quarantine.
     pub fingerprint: RequestFingerprint,
-    /// The service.
+    /// The service that was called.
     pub service: ServiceName,
-    /// Whether a person waits.
+    /// Whether the call is interactive or deferrable.
     pub priority: WorkPriority,
-    /// Whether capacity that can be reclaimed will do.
+    /// Whether the call may run on capacity that the platform can reclaim.
     pub preemptible: bool,
-    /// What the organisation may have.
+    /// The limits of the organisation.
     pub limits: OrganisationLimits,
-    /// What is sent.
+    /// The call to send to the endpoint.
     pub call: PlainCall,
 }
 
-/// What the caller gets.
+/// The answer to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallAnswer {
     /// The service's answer.
     pub answer: PlainAnswer,
-    /// Whether it is that of an earlier request with the same idempotency key.
+    /// Whether it is the recorded answer of an earlier request with the same
+    /// idempotency key.
     pub replayed: bool,
 }
 
@@ -83,11 +84,11 @@
 }
 
 impl PlainRun {
-    /// A run of `work`.
+    /// Creates a run of `work`.
     pub fn new(context: Arc<EntryContext>, work: PlainWork, attempts: RequestAttempts) -> PlainRun {
         let key = work.call.idempotency_key.as_ref();
         let key = key.filter(|_| work.kind == WorkKind::AtMostOnce);
-        let claim = key.map(|key| claim_of(&context, &work, &attempts, key));
+        let claim = key.map(|key| new_claim(&context, &work, &attempts, key));
         PlainRun {
             context,
             work,
@@ -97,18 +98,22 @@
         }
     }
 
-    /// Runs the call and answers its caller.
+    /// Runs the call in a task of its own and returns the answer to its caller. The task
+    /// may outlast this future.
     pub async fn answer(
         self,
         ticket: RunningTicket,
         in_flight: InFlightTicket,
     ) -> Result<CallAnswer, Refusal> {
         let (reply, answer) = oneshot::channel();
-        let lost = self.refusal(RefusalCode::Internal, "a fault of this program");
-        let lost = lost.with_outcome_unknown();
+        let run_lost = self.refusal(
+            RefusalCode::Internal,
+            "internal error: the call ended without an answer",
+        );
+        let run_lost = run_lost.with_outcome_unknown();
         let context = self.context.clone();
         context.work.spawn(self.run(ticket, in_flight, reply));
-        answer.await.unwrap_or(Err(lost))
+        answer.await.unwrap_or(Err(run_lost))
     }
 
     async fn run(
@@ -118,12 +123,12 @@
         reply: oneshot::Sender<Result<CallAnswer, Refusal>>,
     ) {
         let left = self.work.deadline.since(self.context.now());
-        let mut work = Box::pin(self.work());
+        let mut work = Box::pin(self.run_call());
         let interruption = tokio::select! {
             biased;
-            () = ticket.lost().cancelled() => (RefusalCode::KeyWithdrawn, "the key was withdrawn"),
+            () = ticket.lost().cancelled() => (RefusalCode::KeyWithdrawn, "the API key was withdrawn"),
             () = tokio::time::sleep(left.as_duration()) => {
-                (RefusalCode::DeadlineExceeded, "the answer was not there before the deadline")
+                (RefusalCode::DeadlineExceeded, "the answer did not arrive before the deadline")
             }
             end = &mut work => {
                 self.settle(&end);
@@ -136,10 +141,10 @@
         let ran = refusal.ran;
         let _ = reply.send(Err(refusal.clone()));
         drop(in_flight);
-        // Work that has not been sent is dropped here, before it can be: what the
-        // caller was told stays true. Work that was sent may still be settled.
+        // A call that has not been sent is dropped here, before it can be sent, so the
+        // refusal sent to the caller stays true. A call that was sent may still be settled.
         if ran == RunOutcome::Unknown && self.claim.is_some() {
-            let late = tokio::time::timeout(LATE_ANSWER_LIMIT.as_duration(), &mut work).await;
+            let late = tokio::time::timeout(LATE_ANSWER_TIMEOUT.as_duration(), &mut work).await;
             self.settle(&late.unwrap_or(Err(refusal)));
             return;
         }
@@ -155,19 +160,19 @@
         Refusal::new(code, message, &attempts)
     }
 
-    fn change<Change, Answer>(&self, change: Change) -> Answer
+    fn with_attempts<Change, Answer>(&self, change: Change) -> Answer
     where
         Change: FnOnce(&mut RequestAttempts) -> Answer,
     {
         change(&mut self.attempts.lock().expect("no holder panics"))
     }
 
-    async fn work(&self) -> Result<CallAnswer, Refusal> {
+    async fn run_call(&self) -> Result<CallAnswer, Refusal> {
         if self.work.kind == WorkKind::AtMostOnce {
             self.check_freshness()?;
         }
         self.check_quarantine()?;
-        let attempts = self.change(|attempts| attempts.clone());
+        let attempts = self.with_attempts(|attempts| attempts.clone());
         let started = self
             .context
             .start_work(self.admission(), self.work.limits, &attempts);
@@ -179,15 +184,15 @@
         if let Some(recorded) = recorded {
             return Ok(recorded);
         }
-        let answer = self.drive().await?;
+        let answer = self.run_attempts().await?;
         Ok(CallAnswer {
             answer,
             replayed: false,
         })
     }
 
-    /// Refuses work that must run at most once on an instance that has not heard
-    /// of the log for long: it may be cut off, and its keys withdrawn elsewhere.
+    /// Refuses work that must run at most once if this instance has had no update from
+    /// the log for too long: it may be partitioned, and would miss withdrawals of keys.
     fn check_freshness(&self) -> Result<(), Refusal> {
         let bound = self.context.settings.requests.freshness_bound;
         if self
@@ -198,7 +203,7 @@
         {
             return Ok(());
         }
-        let message = format!("this instance has not heard of the log for more than {bound}");
+        let message = format!("this instance has had no update from the log for more than {bound}");
         Err(self.refusal(RefusalCode::ConfigurationStale, message))
     }
 
@@ -212,7 +217,7 @@
 
     fn admission(&self) -> AdmissionRequest {
         AdmissionRequest {
-            request: self.change(|attempts| attempts.request().clone()),
+            request: self.with_attempts(|attempts| attempts.request().clone()),
             organisation: self.work.organisation.clone(),
             pool: RoutePool::Plain(self.work.service.clone()),
             priority: self.work.priority,
@@ -222,21 +227,21 @@
         }
     }
 
-    async fn drive(&self) -> Result<PlainAnswer, Refusal> {
+    async fn run_attempts(&self) -> Result<PlainAnswer, Refusal> {
         let mut tried = TriedEndpoints::default();
         self.context.traffic.note_request(&self.work.organisation);
         loop {
             let routed = self.choose(&tried)?;
             let endpoint = routed.chosen.endpoint.clone();
             match self.attempt(routed).await? {
-                CallEnd::Answered(answer) => {
-                    self.change(RequestAttempts::end);
+                CallOutcome::Answered(answer) => {
+                    self.with_attempts(RequestAttempts::end);
                     let ended = &self.context.metrics.ended;
                     ended.with_label_values(&["whole"]).inc();
                     return Ok(answer);
                 }
-                CallEnd::LostButHealthy => tried.lossy.push(endpoint),
-                CallEnd::Failed => tried.failed.push(endpoint),
+                CallOutcome::LostButHealthy => tried.lost_but_healthy.push(endpoint),
+                CallOutcome::Failed => tried.failed.push(endpoint),
             }
             self.check_quarantine()?;
             self.pause_before_retry().await?;
@@ -244,7 +249,7 @@
     }
 
     async fn pause_before_retry(&self) -> Result<(), Refusal> {
-        let failed = self.change(|attempts| attempts.attempt());
+        let failed = self.with_attempts(|attempts| attempts.attempt());
         match self
             .context
             .traffic
@@ -255,7 +260,7 @@
                 Ok(())
             }
             RetryDecision::GiveUp { reason } => {
-                let code = match self.change(|attempts| attempts.outcome()) {
+                let code = match self.with_attempts(|attempts| attempts.outcome()) {
                     RunOutcome::NotRun(_) => RefusalCode::NoEndpoint,
                     RunOutcome::Unknown => RefusalCode::EndpointLost,
                 };
