--- a/crates/entry/src/model_run/choice.rs
+++ b/crates/entry/src/model_run/choice.rs
@@ -136,7 +136,7 @@
             Ok(Ok(handle)) => self.kv_import = Some(handle),
             Ok(Err(error)) => {
                 self.context
-                    .record_decision(&subjects, "prefill failed", error.to_string())
+                    .record_decision(&subjects, "prefill failed", error.to_string());
             }
             Err(_) => self.context.record_decision(
                 &subjects,
