--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -154,7 +154,7 @@
             "it ran when the endpoint crashed",
         );
         let record = LogRecord::Quarantine(record);
-        self.node.push_note(&record);
+        self.node.broadcast_urgent_record(&record);
         let appended = self.node.append(record);
         let limit = self.settings.requests.claim_patience;
         let _ = tokio::time::timeout(limit.as_duration(), appended).await;
@@ -168,14 +168,14 @@
         let subjects = [fingerprint.as_str(), endpoint.as_str()];
         self.decided(&subjects, "cleared the request", "it ran to its end");
         let record = LogRecord::Quarantine(record);
-        self.node.push_note(&record);
+        self.node.broadcast_urgent_record(&record);
         let _ = self.node.append(record).await;
     }
 
     /// Takes peers' word of crashes, which comes before the log's and also while
     /// the log is down, until `token` is cancelled.
     pub async fn hear_crashes(self: Arc<Self>, token: CancellationToken) {
-        let mut notes = self.node.subscribe_notes();
+        let mut notes = self.node.subscribe_urgent_records();
         loop {
             let note = tokio::select! {
                 () = token.cancelled() => return,
--- a/crates/lab/src/slopes/gossip.rs
+++ b/crates/lab/src/slopes/gossip.rs
@@ -93,10 +93,10 @@
         stamp: 86_400_000,
         echo: Some(86_400_000),
         next_offset: 1_000_000,
-        knowledge_age: Some(100),
+        freshness: Some(100),
         caught_up: true,
         items: items.iter().map(|i| ItemMessage::new(sender, i)).collect(),
-        news_share: Some(NEWS_BYTES as u64),
+        update_budget: Some(NEWS_BYTES as u64),
     };
     let frame = PeerFrame {
         body: Some(PeerBody::Heartbeat(heartbeat)),
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -175,7 +175,7 @@
         let mut progress = self.node.state.progress.subscribe();
         let mut beats = self.node.state.beats.subscribe();
         for note in self.node.notes_for_new_peer() {
-            self.send(PeerBody::Note(note)).await?;
+            self.send(PeerBody::UrgentRecord(note)).await?;
         }
         loop {
             tokio::select! {
--- a/crates/node/src/peers/messages.rs
+++ b/crates/node/src/peers/messages.rs
@@ -17,8 +17,8 @@
     peers::{
         link::{LinkError, PeerConnection},
         wire::{
-            EntriesMessage, EntryMessage, HeartbeatMessage, ItemMessage, NoteMessage, PeerBody,
-            SnapshotPartMessage,
+            EntriesMessage, EntryMessage, HeartbeatMessage, ItemMessage, PeerBody,
+            SnapshotPartMessage, UrgentRecordMessage,
         },
     },
 };
@@ -51,7 +51,7 @@
                 self.take_entries(entries);
                 Ok(())
             }
-            PeerBody::Note(note) => {
+            PeerBody::UrgentRecord(note) => {
                 self.node.take_note(&note, &self.peer);
                 Ok(())
             }
@@ -70,10 +70,10 @@
             stamp: now.since(self.node.state.started).as_millis(),
             echo: self.echo,
             next_offset: progress.next.number(),
-            knowledge_age: self.node.freshness().map(TimeSpan::as_millis),
+            freshness: self.node.freshness().map(TimeSpan::as_millis),
             caught_up: progress.caught_up,
             items,
-            news_share: Some(share as u64),
+            update_budget: Some(share as u64),
         };
         self.send(PeerBody::Heartbeat(heartbeat)).await
     }
@@ -97,7 +97,7 @@
 
     fn take_heartbeat(&mut self, heartbeat: HeartbeatMessage) {
         self.echo = Some(heartbeat.stamp);
-        if let Some(share) = heartbeat.news_share {
+        if let Some(share) = heartbeat.update_budget {
             self.peer_share = share as usize;
         }
         let next = LogOffset::new(heartbeat.next_offset);
@@ -218,31 +218,31 @@
 
     /// Tells all peers a record that can't wait for the log: a withdrawal, a
     /// quarantine, a mark. It is no substitute for appending it.
-    pub fn push_note(&self, record: &LogRecord) {
+    pub fn broadcast_urgent_record(&self, record: &LogRecord) {
         let Ok(payload) = serde_json::to_string(record) else {
             return;
         };
         if !hold(&self.state.notes).take(&payload) {
             return;
         }
-        let note = PeerBody::Note(NoteMessage { payload });
+        let note = PeerBody::UrgentRecord(UrgentRecordMessage { payload });
         hold(&self.state.links).broadcast(&note, None);
     }
 
     /// Records that peers told before they stood in the log. Withdrawals are
     /// not among them: they have taken effect already.
-    pub fn subscribe_notes(&self) -> broadcast::Receiver<LogRecord> {
+    pub fn subscribe_urgent_records(&self) -> broadcast::Receiver<LogRecord> {
         self.state.note_events.subscribe()
     }
 
-    fn take_note(&self, note: &NoteMessage, from: &InstanceId) {
+    fn take_note(&self, note: &UrgentRecordMessage, from: &InstanceId) {
         let Ok(record) = serde_json::from_str::<LogRecord>(&note.payload) else {
             return;
         };
         if !hold(&self.state.notes).take(&note.payload) {
             return;
         }
-        hold(&self.state.links).broadcast(&PeerBody::Note(note.clone()), Some(from));
+        hold(&self.state.links).broadcast(&PeerBody::UrgentRecord(note.clone()), Some(from));
         match record {
             LogRecord::Withdraw(withdrawal) => self.take_peer_withdrawal(&withdrawal, from),
             record => {
@@ -251,7 +251,7 @@
         }
     }
 
-    pub(crate) fn notes_for_new_peer(&self) -> Vec<NoteMessage> {
+    pub(crate) fn notes_for_new_peer(&self) -> Vec<UrgentRecordMessage> {
         let mut payloads: Vec<String> = hold(&self.state.notes).recent().cloned().collect();
         for record in hold(&self.state.withdrawals).records() {
             let record = LogRecord::Withdraw(record.clone());
@@ -259,7 +259,7 @@
         }
         payloads.sort_unstable();
         payloads.dedup();
-        let note = |payload| NoteMessage { payload };
+        let note = |payload| UrgentRecordMessage { payload };
         payloads.into_iter().map(note).collect()
     }
 }
--- a/crates/node/src/peers/wire.rs
+++ b/crates/node/src/peers/wire.rs
@@ -42,7 +42,7 @@
     Entries(EntriesMessage),
     /// A record that can't wait for the log.
     #[prost(message, tag = "5")]
-    Note(NoteMessage),
+    UrgentRecord(UrgentRecordMessage),
     /// A wish for the whole state.
     #[prost(message, tag = "6")]
     SnapshotPull(SnapshotPullMessage),
@@ -73,7 +73,7 @@
     pub next_offset: u64,
     /// How old the sender's knowledge of the log's end is, in milliseconds.
     #[prost(uint64, optional, tag = "4")]
-    pub knowledge_age: Option<u64>,
+    pub freshness: Option<u64>,
     /// Whether the sender has caught up since its start.
     #[prost(bool, tag = "5")]
     pub caught_up: bool,
@@ -83,7 +83,7 @@
     /// How many bytes of news the sender takes from the receiver each second:
     /// few, if it has many connections.
     #[prost(uint64, optional, tag = "7")]
-    pub news_share: Option<u64>,
+    pub update_budget: Option<u64>,
 }
 
 /// A wish for entries: answered as soon as there are any.
@@ -125,7 +125,7 @@
 
 /// A record that can't wait for the log, such as a withdrawal.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct NoteMessage {
+pub struct UrgentRecordMessage {
     /// The record, as it would stand in the log.
     #[prost(string, tag = "1")]
     pub payload: String,
@@ -225,7 +225,7 @@
 impl HeartbeatMessage {
     /// The sender's knowledge age as a span.
     pub fn age(&self) -> Option<TimeSpan> {
-        self.knowledge_age.map(TimeSpan::from_millis)
+        self.freshness.map(TimeSpan::from_millis)
     }
 
     /// The echoed stamp on the clock that started at `started`.
--- a/crates/node/src/withdraw.rs
+++ b/crates/node/src/withdraw.rs
@@ -72,7 +72,7 @@
     pub fn withdraw(&self, withdrawal: &WithdrawRecord) {
         let now = self.state.clock.now();
         self.take_withdrawal(withdrawal, now);
-        self.push_note(&LogRecord::Withdraw(withdrawal.clone()));
+        self.broadcast_urgent_record(&LogRecord::Withdraw(withdrawal.clone()));
     }
 
     /// Takes a withdrawal that a peer has passed on.
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -225,7 +225,7 @@
     let b = platform.join("b", "y").await;
     until("a link", || a.has_peer(&b) && b.has_peer(&a)).await;
     platform.log_down().await;
-    let mut notes = b.node.subscribe_notes();
+    let mut notes = b.node.subscribe_urgent_records();
     let one = OrganisationId::new("one").expect("valid");
     let record = LogRecord::Quarantine(QuarantineRecord {
         fingerprint: RequestFingerprint::with_content(&one, b"poison"),
@@ -234,7 +234,7 @@
         entry: a.node.settings().instance.clone(),
         cleared: false,
     });
-    a.node.push_note(&record);
+    a.node.broadcast_urgent_record(&record);
     let told = tokio::time::timeout(PATIENCE.as_duration(), notes.recv()).await;
     assert_eq!(told.expect("told in time").expect("told"), record);
 }
