--- a/crates/node/examples/peer_traffic.rs
+++ b/crates/node/examples/peer_traffic.rs
@@ -19,7 +19,7 @@
 use tokio_util::sync::CancellationToken;
 
 const DOMAINS: usize = 3;
-const SETTLE: TimeSpan = TimeSpan::from_secs(8);
+const WARM_UP: TimeSpan = TimeSpan::from_secs(8);
 
 fn settings(platform: SocketAddr, number: usize) -> NodeSettings {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -97,20 +97,20 @@
             .expect("joins");
         nodes.push(node);
     }
-    run(&nodes, SETTLE.as_secs_ceil(), 1).await;
+    run(&nodes, WARM_UP.as_secs_ceil(), 1).await;
     let before: Vec<(u64, u64)> = nodes
         .iter()
         .map(|n| (n.peer_bytes(), n.log_reads()))
         .collect();
     run(&nodes, seconds as u64, 100).await;
     let mut bytes = 0;
-    let mut most = 0;
+    let mut highest = 0;
     let mut reads = 0;
     let mut links = 0;
     for (node, (bytes_before, reads_before)) in nodes.iter().zip(before) {
         let spent = node.peer_bytes() - bytes_before;
         bytes += spent;
-        most = most.max(spent);
+        highest = highest.max(spent);
         reads += node.log_reads() - reads_before;
         links += node.report().links.len();
     }
@@ -119,7 +119,7 @@
     println!(
         "nodes={count} mean_bytes_per_s={:.0} most_bytes_per_s={:.0} links_per_node={:.1} log_reads_per_s={:.1} oldest_knowledge={}",
         per(bytes) / count as f64,
-        per(most),
+        per(highest),
         links as f64 / count as f64,
         per(reads),
         oldest.map_or("none".to_string(), |age| age.to_string()),
--- a/crates/node/src/announce.rs
+++ b/crates/node/src/announce.rs
@@ -14,15 +14,15 @@
 use crate::handle::NodeHandle;
 
 /// The time between two announcements.
-pub const ANNOUNCE_EVERY: TimeSpan = TimeSpan::from_secs(1);
+pub const ANNOUNCE_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
 /// The time between two reads of the list, per instance on it. The list's size
 /// grows with the fleet: read every second it would cost 350 instances tens of
 /// kilobytes a second each. Peers tell of new instances sooner.
-const LIST_PAUSE: TimeSpan = TimeSpan::from_millis(100);
+const LIST_INTERVAL_PER_INSTANCE: TimeSpan = TimeSpan::from_millis(100);
 
 /// The longest time between two reads of the list.
-const LIST_LIMIT: TimeSpan = TimeSpan::from_secs(30);
+const MAX_LIST_INTERVAL: TimeSpan = TimeSpan::from_secs(30);
 
 /// Announces `listing` and reads the list until `token` is cancelled, then
 /// announces that this process leaves.
@@ -38,7 +38,7 @@
         tokio::select! {
             () = token.cancelled() => break,
             () = node.local_changed(state) => {}
-            () = tokio::time::sleep(ANNOUNCE_EVERY.as_duration()) => {}
+            () = tokio::time::sleep(ANNOUNCE_INTERVAL.as_duration()) => {}
         }
     }
     announce(&node, &listing, InstanceState::Leaving).await;
@@ -57,7 +57,9 @@
     match node.platform().instances().await {
         Ok(listings) => {
             node.note_listings(&listings);
-            LIST_PAUSE.times(listings.len() as u64).min(LIST_LIMIT)
+            LIST_INTERVAL_PER_INSTANCE
+                .times(listings.len() as u64)
+                .min(MAX_LIST_INTERVAL)
         }
         Err(error) => {
             LogLine::new("instance_list_failed")
--- a/crates/node/src/append.rs
+++ b/crates/node/src/append.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// The pause before an append whose fate is unknown is sent again.
-const REPEAT_PAUSE: TimeSpan = TimeSpan::from_millis(100);
+const RETRY_DELAY: TimeSpan = TimeSpan::from_millis(100);
 
 /// Why an append is not known to stand in the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -33,7 +33,7 @@
     pub sequence: u64,
     /// Whether an answer was lost before, so that an earlier copy may stand too:
     /// readers count that one and drop the one at `offset`.
-    pub may_stand_twice: bool,
+    pub may_be_duplicated: bool,
 }
 
 /// One append that waits for its turn.
@@ -94,7 +94,7 @@
             sequence: self.sequence,
             payload,
         };
-        let give_up = self.clock.now() + self.timeout;
+        let deadline = self.clock.now() + self.timeout;
         let mut may_have_effect = false;
         loop {
             let error = match self.client.append(&request).await {
@@ -102,7 +102,7 @@
                     return Ok(AppendedRecord {
                         offset: answer.offset,
                         sequence: self.sequence,
-                        may_stand_twice: may_have_effect,
+                        may_be_duplicated: may_have_effect,
                     });
                 }
                 Err(error) => error,
@@ -110,13 +110,13 @@
             let message = error.to_string();
             may_have_effect |= matches!(error, PlatformError::Unknown(_));
             let refused = matches!(error, PlatformError::Refused { .. });
-            if refused || self.clock.now() + REPEAT_PAUSE >= give_up {
+            if refused || self.clock.now() + RETRY_DELAY >= deadline {
                 return Err(match may_have_effect {
                     true => AppendError::Unknown(message),
                     false => AppendError::NotAppended(message),
                 });
             }
-            tokio::time::sleep(REPEAT_PAUSE.as_duration()).await;
+            tokio::time::sleep(RETRY_DELAY.as_duration()).await;
         }
     }
 }
--- a/crates/node/src/apply.rs
+++ b/crates/node/src/apply.rs
@@ -12,7 +12,7 @@
 use crate::{
     buffer::RelayBuffer,
     follow,
-    handle::{LogState, NodeHandle, hold},
+    handle::{LogState, NodeHandle, lock},
 };
 
 impl NodeHandle {
@@ -41,11 +41,11 @@
             return;
         }
         if let LogRecord::Withdraw(withdrawal) = &entry.record {
-            hold(&self.state.withdrawals).settle(&withdrawal.digest);
+            lock(&self.state.withdrawals).settle(&withdrawal.digest);
         }
         log.buffer.push(raw());
         let events = log.view.apply(now, entry);
-        self.tell_change(&mut log, events);
+        self.publish_change(&mut log, events);
     }
 
     /// Takes over a view that was restored from a checkpoint, if it is further
@@ -58,33 +58,36 @@
         let events = restored.take_over(&log.view);
         log.view = restored;
         log.buffer = RelayBuffer::new();
-        self.tell_change(&mut log, events);
+        self.publish_change(&mut log, events);
         true
     }
 
     /// Tells what changed, and then how far the view has come, while the view's
     /// lock is held: whoever waits for an offset and then looks for its event would
     /// otherwise miss it.
-    fn tell_change(&self, log: &mut LogState, events: Vec<ViewEvent>) {
+    fn publish_change(&self, log: &mut LogState, events: Vec<ViewEvent>) {
         let next = log.view.next_offset();
-        log.knowledge.advance(next);
-        self.tell(events);
+        log.freshness.advance(next);
+        self.publish_events(events);
         self.state.progress.send_if_modified(|progress| {
-            let moved = progress.next != next;
+            let advanced = progress.next != next;
             progress.next = next;
-            moved
+            advanced
         });
     }
 
-    pub(crate) fn tell(&self, events: Vec<ViewEvent>) {
+    pub(crate) fn publish_events(&self, events: Vec<ViewEvent>) {
         for event in events {
             let _ = self.state.events.send(event);
         }
     }
 
     /// Notes a read of the log that was asked for at `asked` and found its end.
-    pub(crate) fn note_read(&self, asked: ClockTime, end: LogOffset) {
-        self.confirm(LogEndConfirmation { at: asked, end });
+    pub(crate) fn note_read(&self, requested_at: ClockTime, end: LogOffset) {
+        self.confirm(LogEndConfirmation {
+            at: requested_at,
+            end,
+        });
         let now = self.state.clock.now();
         self.state.progress.send_modify(|progress| {
             progress.read_at = Some(now);
@@ -95,14 +98,14 @@
     pub(crate) fn confirm(&self, confirmation: LogEndConfirmation) {
         let mut log = self.log();
         let next = log.view.next_offset();
-        log.knowledge.confirm(confirmation, next);
+        log.freshness.confirm(confirmation, next);
     }
 
     pub(crate) fn note_caught_up(&self) {
         self.state.progress.send_if_modified(|progress| {
-            let news = !progress.caught_up;
+            let changed = !progress.caught_up;
             progress.caught_up = true;
-            news
+            changed
         });
     }
 }
--- a/crates/node/src/buffer.rs
+++ b/crates/node/src/buffer.rs
@@ -6,14 +6,14 @@
 use bluebell_platform::api::RawEntry;
 
 /// The most entries that are kept.
-const ENTRY_LIMIT: usize = 8_192;
+const MAX_BUFFERED_ENTRIES: usize = 8_192;
 
 /// The most bytes of payload that are kept.
-const SIZE_LIMIT: ByteSize = ByteSize::new(4 * 1024 * 1024);
+const MAX_BUFFERED_SIZE: ByteSize = ByteSize::new(4 * 1024 * 1024);
 
 /// The most entries, and about the most bytes, of one answer.
-const ANSWER_ENTRIES: usize = 256;
-const ANSWER_SIZE: ByteSize = ByteSize::new(128 * 1024);
+const MAX_ANSWER_ENTRIES: usize = 256;
+const MAX_ANSWER_SIZE: ByteSize = ByteSize::new(128 * 1024);
 
 /// Entries that have been applied, in the order of the log and without a gap.
 #[derive(Clone, Debug, Default)]
@@ -41,7 +41,8 @@
         self.bytes += entry.payload.len();
         self.entries.push_back(entry);
         let full = |buffer: &RelayBuffer| {
-            buffer.entries.len() > ENTRY_LIMIT || buffer.bytes as u64 > SIZE_LIMIT.count()
+            buffer.entries.len() > MAX_BUFFERED_ENTRIES
+                || buffer.bytes as u64 > MAX_BUFFERED_SIZE.count()
         };
         while self.entries.len() > 1 && full(self) {
             if let Some(oldest) = self.entries.pop_front() {
@@ -51,7 +52,7 @@
     }
 
     /// The oldest offset that is kept; `next` if none is.
-    pub fn first_held(&self, next: LogOffset) -> LogOffset {
+    pub fn first_buffered(&self, next: LogOffset) -> LogOffset {
         self.entries.front().map_or(next, |entry| entry.offset)
     }
 
@@ -67,11 +68,11 @@
         let fits = |entry: &&RawEntry| {
             let before = bytes;
             bytes += entry.payload.len() as u64;
-            before < ANSWER_SIZE.count()
+            before < MAX_ANSWER_SIZE.count()
         };
         let entries = self.entries.iter().skip(skip as usize);
         entries
-            .take(ANSWER_ENTRIES)
+            .take(MAX_ANSWER_ENTRIES)
             .take_while(fits)
             .cloned()
             .collect()
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -21,31 +21,31 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    handle::{NodeHandle, hold},
+    handle::{NodeHandle, lock},
     peers::wire::{PeerBody, PullMessage, SnapshotPullMessage},
     restore,
 };
 
 /// The most entries of one read.
-pub(crate) const READ_LIMIT: usize = 500;
+pub(crate) const MAX_READ_ENTRIES: usize = 500;
 
 /// The pause after a read that failed.
-const FAILURE_PAUSE: TimeSpan = TimeSpan::from_millis(200);
+const READ_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(200);
 
 /// How old a follower's knowledge of the log's end may grow before it reads the
 /// log itself. Two heartbeats and a long poll, which is what a relay that works
 /// costs, stay below it.
-const RELAY_LAG_LIMIT: TimeSpan = TimeSpan::from_secs(3);
+const MAX_RELAY_AGE: TimeSpan = TimeSpan::from_secs(3);
 
 /// How often a follower looks whether its relay still serves it.
-const RELAY_CHECK: TimeSpan = TimeSpan::from_millis(250);
+const RELAY_CHECK_INTERVAL: TimeSpan = TimeSpan::from_millis(250);
 
 /// The time after which a wish for entries is sent again.
-const PULL_AGAIN: TimeSpan = TimeSpan::from_secs(1);
+const PULL_RETRY_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
 /// How long a new process waits for peers to appear before it takes the
 /// greatest offset among those it reached for the greatest there is.
-const PEER_GATHERING: TimeSpan = TimeSpan::from_secs(2);
+const PEER_DISCOVERY_TIME: TimeSpan = TimeSpan::from_secs(2);
 
 /// Follows the log until `token` is cancelled.
 pub async fn run(node: NodeHandle, client: PlatformClient, token: CancellationToken) {
@@ -65,21 +65,21 @@
 
 async fn follow_peer(node: &NodeHandle, upstream: &InstanceId) {
     node.pull(upstream);
-    let mut wanted = node.state.wanted.subscribe();
+    let mut requested_offset = node.state.requested_offset.subscribe();
     let mut plan = node.state.plan.subscribe();
     tokio::select! {
-        _ = wanted.changed() => {}
+        _ = requested_offset.changed() => {}
         _ = plan.changed() => {}
-        () = tokio::time::sleep(RELAY_CHECK.as_duration()) => {}
+        () = tokio::time::sleep(RELAY_CHECK_INTERVAL.as_duration()) => {}
     }
 }
 
 async fn read_platform(node: &NodeHandle, client: &PlatformClient) {
     let from = node.progress().next;
-    let asked = node.clock().now();
+    let requested_at = node.clock().now();
     node.state.log_reads.fetch_add(1, Ordering::Relaxed);
     match client
-        .read(from, READ_LIMIT, node.settings().read_wait)
+        .read(from, MAX_READ_ENTRIES, node.settings().read_wait)
         .await
     {
         Ok(answer) if answer.first_kept > node.progress().next => {
@@ -87,28 +87,28 @@
         }
         Ok(answer) => {
             let end = answer.end;
-            take(node, answer);
-            node.note_read(asked, end);
+            apply_answer(node, answer);
+            node.note_read(requested_at, end);
         }
         Err(error) => {
             note_failure(node, &error);
-            tokio::time::sleep(FAILURE_PAUSE.as_duration()).await;
+            tokio::time::sleep(READ_RETRY_DELAY.as_duration()).await;
         }
     }
 }
 
 pub(crate) fn note_failure(node: &NodeHandle, error: &PlatformError) {
     LogLine::new("log_read_failed").with("error", error).debug();
-    node.follow_best_peer();
-    node.consider_peers();
-    let ready = node.has_ready_peer();
+    node.pull_from_most_advanced_peer();
+    node.check_caught_up_with_peers();
+    let ready = node.has_caught_up_peer();
     node.note_obstacle(match ready {
         true => format!("the log can't be read ({error}); catching up with peers"),
         false => format!("the log can't be read ({error}) and no peer that is ready is in reach"),
     });
 }
 
-fn take(node: &NodeHandle, answer: ReadAnswer) {
+fn apply_answer(node: &NodeHandle, answer: ReadAnswer) {
     for raw in answer.entries {
         node.apply_raw(raw);
     }
@@ -119,14 +119,14 @@
     fn upstream(&self) -> Option<InstanceId> {
         let plan = self.state.plan.borrow().clone();
         let progress = self.progress();
-        let wanted = *self.state.wanted.borrow();
-        if plan.is_reader || !progress.caught_up || wanted > progress.next {
+        let requested_offset = *self.state.requested_offset.borrow();
+        if plan.is_reader || !progress.caught_up || requested_offset > progress.next {
             return None;
         }
-        if self.freshness().is_none_or(|age| age > RELAY_LAG_LIMIT) {
+        if self.freshness().is_none_or(|age| age > MAX_RELAY_AGE) {
             return None;
         }
-        let links = hold(&self.state.links);
+        let links = lock(&self.state.links);
         let serves = |reader: &&InstanceId| links.link(reader).is_some_and(|l| l.caught_up);
         plan.readers.iter().find(serves).cloned()
     }
@@ -134,11 +134,14 @@
     /// Asks `peer` for entries, unless it was asked a moment ago.
     pub(crate) fn pull(&self, peer: &InstanceId) {
         let now = self.state.clock.now();
-        let mut links = hold(&self.state.links);
+        let mut links = lock(&self.state.links);
         let Some(link) = links.link_mut(peer) else {
             return;
         };
-        if link.pulled_at.is_some_and(|at| now.since(at) < PULL_AGAIN) {
+        if link
+            .pulled_at
+            .is_some_and(|at| now.since(at) < PULL_RETRY_INTERVAL)
+        {
             return;
         }
         link.pulled_at = Some(now);
@@ -147,33 +150,33 @@
     }
 
     /// Asks the peer that is furthest ahead, if any is ahead.
-    pub(crate) fn follow_best_peer(&self) {
-        if let Some((peer, next)) = self.best_peer()
+    pub(crate) fn pull_from_most_advanced_peer(&self) {
+        if let Some((peer, next)) = self.most_advanced_peer()
             && next > self.progress().next
         {
             self.pull(&peer);
         }
     }
 
-    fn best_peer(&self) -> Option<(InstanceId, LogOffset)> {
-        let links = hold(&self.state.links);
-        let told = links
+    fn most_advanced_peer(&self) -> Option<(InstanceId, LogOffset)> {
+        let links = lock(&self.state.links);
+        let offsets = links
             .links()
             .filter_map(|(peer, link)| Some((peer.clone(), link.next_offset?)));
-        told.max_by_key(|(_, next)| *next)
+        offsets.max_by_key(|(_, next)| *next)
     }
 
     /// Asks the peer that is furthest ahead for the whole state.
     pub(crate) fn pull_snapshot(&self) -> bool {
-        let Some((peer, next)) = self.best_peer() else {
+        let Some((peer, next)) = self.most_advanced_peer() else {
             return false;
         };
         let body = PeerBody::SnapshotPull(SnapshotPullMessage {});
-        next > self.progress().next && hold(&self.state.links).send(&peer, body)
+        next > self.progress().next && lock(&self.state.links).send(&peer, body)
     }
 
-    pub(crate) fn has_ready_peer(&self) -> bool {
-        let links = hold(&self.state.links);
+    pub(crate) fn has_caught_up_peer(&self) -> bool {
+        let links = lock(&self.state.links);
         links.links().any(|(_, link)| link.caught_up)
     }
 
@@ -181,13 +184,13 @@
     /// among the peers in reach, if one of them has caught up itself. Without
     /// any, a new process knows nothing and must not serve: it would not know
     /// a withdrawn key or an idempotency key that is taken.
-    pub(crate) fn consider_peers(&self) {
-        let gathered = self.state.clock.now().since(self.state.started) >= PEER_GATHERING;
-        if !gathered || !self.has_ready_peer() {
+    pub(crate) fn check_caught_up_with_peers(&self) {
+        let gathered = self.state.clock.now().since(self.state.started) >= PEER_DISCOVERY_TIME;
+        if !gathered || !self.has_caught_up_peer() {
             return;
         }
         let reached = self
-            .best_peer()
+            .most_advanced_peer()
             .is_some_and(|(_, next)| next <= self.progress().next);
         if reached {
             self.note_caught_up();
--- a/crates/node/src/handle.rs
+++ b/crates/node/src/handle.rs
@@ -17,9 +17,9 @@
     append::{AppendError, AppendJob, LogAppender},
     buffer::RelayBuffer,
     follow,
-    notes::NoteMemory,
-    peers::board::LinkBoard,
+    peers::link_table::LinkTable,
     settings::NodeSettings,
+    urgent_records::UrgentRecordCache,
     withdraw::PendingWithdrawals,
 };
 
@@ -31,7 +31,7 @@
 const APPEND_BACKLOG: usize = 1_024;
 
 /// How long a wait for an entry trusts the relay before the log is read directly.
-const RELAY_PATIENCE: TimeSpan = TimeSpan::from_millis(50);
+const RELAY_TIMEOUT: TimeSpan = TimeSpan::from_millis(50);
 
 /// What a node knows of its own place in the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
@@ -50,7 +50,7 @@
 pub(crate) struct LogState {
     pub(crate) view: FleetView,
     pub(crate) buffer: RelayBuffer,
-    pub(crate) knowledge: LogFreshness,
+    pub(crate) freshness: LogFreshness,
 }
 
 pub(crate) struct NodeState {
@@ -62,20 +62,20 @@
     pub(crate) events: broadcast::Sender<ViewEvent>,
     pub(crate) progress: watch::Sender<LogProgress>,
     /// An offset that somebody waits for, to be read directly if need be.
-    pub(crate) wanted: watch::Sender<LogOffset>,
+    pub(crate) requested_offset: watch::Sender<LogOffset>,
     pub(crate) appends: mpsc::Sender<AppendJob>,
     pub(crate) writer: WriterId,
     pub(crate) members: Mutex<MemberTable>,
     pub(crate) plan: watch::Sender<LinkPlan>,
-    pub(crate) links: Mutex<LinkBoard>,
-    pub(crate) notes: Mutex<NoteMemory>,
-    pub(crate) note_events: broadcast::Sender<LogRecord>,
+    pub(crate) links: Mutex<LinkTable>,
+    pub(crate) urgent_records: Mutex<UrgentRecordCache>,
+    pub(crate) urgent_record_events: broadcast::Sender<LogRecord>,
     pub(crate) withdrawals: Mutex<PendingWithdrawals>,
     pub(crate) local: watch::Sender<LocalStatus>,
     /// Why the node has not caught up, for operators.
     pub(crate) obstacle: Mutex<String>,
     /// Counts up to make all connections send a heartbeat at once.
-    pub(crate) beats: watch::Sender<u64>,
+    pub(crate) heartbeat_requests: watch::Sender<u64>,
     pub(crate) peer_bytes: std::sync::atomic::AtomicU64,
     pub(crate) log_reads: std::sync::atomic::AtomicU64,
 }
@@ -86,7 +86,7 @@
     pub(crate) state: Arc<NodeState>,
 }
 
-pub(crate) fn hold<Value>(mutex: &Mutex<Value>) -> MutexGuard<'_, Value> {
+pub(crate) fn lock<Value>(mutex: &Mutex<Value>) -> MutexGuard<'_, Value> {
     mutex.lock().expect("no holder panics")
 }
 
@@ -103,7 +103,7 @@
             &settings.failure_domain,
         );
         let (appends, jobs) = mpsc::channel(APPEND_BACKLOG);
-        let writer = incarnation_writer(&settings, &clock);
+        let writer = unique_writer_id(&settings, &clock);
         let appender = LogAppender::new(
             client.clone(),
             clock.clone(),
@@ -120,11 +120,11 @@
             log: Mutex::new(LogState {
                 view: FleetView::new(),
                 buffer: RelayBuffer::new(),
-                knowledge: LogFreshness::new(),
+                freshness: LogFreshness::new(),
             }),
             events: broadcast::Sender::new(EVENT_BACKLOG),
             progress: watch::Sender::new(LogProgress::default()),
-            wanted: watch::Sender::new(LogOffset::START),
+            requested_offset: watch::Sender::new(LogOffset::START),
             appends,
             writer,
             members: Mutex::new(members),
@@ -132,13 +132,13 @@
                 is_reader: true,
                 ..LinkPlan::default()
             }),
-            links: Mutex::new(LinkBoard::new()),
-            notes: Mutex::new(NoteMemory::new()),
-            note_events: broadcast::Sender::new(EVENT_BACKLOG),
+            links: Mutex::new(LinkTable::new()),
+            urgent_records: Mutex::new(UrgentRecordCache::new()),
+            urgent_record_events: broadcast::Sender::new(EVENT_BACKLOG),
             withdrawals: Mutex::new(PendingWithdrawals::new()),
             local: watch::Sender::new(LocalStatus::default()),
             obstacle: Mutex::new("the log has not been read yet".to_string()),
-            beats: watch::Sender::new(0),
+            heartbeat_requests: watch::Sender::new(0),
             peer_bytes: Default::default(),
             log_reads: Default::default(),
             settings,
@@ -171,7 +171,7 @@
     }
 
     pub(crate) fn log(&self) -> MutexGuard<'_, LogState> {
-        hold(&self.state.log)
+        lock(&self.state.log)
     }
 
     /// Lets `read` look at the view. It must not block.
@@ -197,19 +197,19 @@
     /// missing from the view. None if the end has never been confirmed.
     pub fn freshness(&self) -> Option<TimeSpan> {
         let now = self.state.clock.now();
-        self.log().knowledge.age(now)
+        self.log().freshness.age(now)
     }
 
     /// Why the node has not caught up yet; none if it has.
     pub fn obstacle(&self) -> Option<String> {
         match self.progress().caught_up {
             true => None,
-            false => Some(hold(&self.state.obstacle).clone()),
+            false => Some(lock(&self.state.obstacle).clone()),
         }
     }
 
     pub(crate) fn note_obstacle(&self, obstacle: String) {
-        *hold(&self.state.obstacle) = obstacle;
+        *lock(&self.state.obstacle) = obstacle;
     }
 
     /// Appends a record and waits until its fate is known or the settings'
@@ -226,11 +226,11 @@
         let appended = answer
             .await
             .unwrap_or_else(|_| Err(AppendError::Unknown("the node stopped".to_string())))?;
-        if !appended.may_stand_twice {
+        if !appended.may_be_duplicated {
             return Ok(appended.offset);
         }
-        let patience = self.state.settings.append_timeout;
-        if !self.wait_applied(appended.offset, patience).await {
+        let timeout = self.state.settings.append_timeout;
+        if !self.wait_applied(appended.offset, timeout).await {
             let message = format!("it may stand twice, up to offset {}", appended.offset);
             return Err(AppendError::Unknown(message));
         }
@@ -245,31 +245,33 @@
 
     /// Waits until the entry at `offset` has been applied; answers whether it
     /// was within `patience`.
-    pub async fn wait_applied(&self, offset: LogOffset, patience: TimeSpan) -> bool {
+    pub async fn wait_applied(&self, offset: LogOffset, timeout: TimeSpan) -> bool {
         let mut progress = self.state.progress.subscribe();
-        let mut applied = async |patience: TimeSpan| {
+        let mut applied = async |timeout: TimeSpan| {
             let applied = progress.wait_for(|progress| offset < progress.next);
-            tokio::time::timeout(patience.as_duration(), applied)
+            tokio::time::timeout(timeout.as_duration(), applied)
                 .await
                 .is_ok_and(|seen| seen.is_ok())
         };
-        if applied(patience.min(RELAY_PATIENCE)).await {
+        if applied(timeout.min(RELAY_TIMEOUT)).await {
             return true;
         }
         // The relay lags: somebody waits for this very entry, so read the log.
-        self.state.wanted.send_if_modified(|wanted| {
-            let further = *wanted <= offset;
-            *wanted = (*wanted).max(offset.next());
-            further
-        });
-        applied(patience.less(RELAY_PATIENCE)).await
+        self.state
+            .requested_offset
+            .send_if_modified(|requested_offset| {
+                let further = *requested_offset <= offset;
+                *requested_offset = (*requested_offset).max(offset.next());
+                further
+            });
+        applied(timeout.less(RELAY_TIMEOUT)).await
     }
 
     /// Waits until the node has caught up; answers whether it did within `patience`.
-    pub async fn wait_caught_up(&self, patience: TimeSpan) -> bool {
+    pub async fn wait_caught_up(&self, timeout: TimeSpan) -> bool {
         let mut progress = self.state.progress.subscribe();
         let caught_up = progress.wait_for(|progress| progress.caught_up);
-        tokio::time::timeout(patience.as_duration(), caught_up)
+        tokio::time::timeout(timeout.as_duration(), caught_up)
             .await
             .is_ok_and(|seen| seen.is_ok())
     }
@@ -291,7 +293,7 @@
 
 /// A writer name that no earlier process of this instance had: sequence numbers
 /// start again with every process, and readers drop what they take for repeats.
-fn incarnation_writer(settings: &NodeSettings, clock: &ClockSource) -> WriterId {
+fn unique_writer_id(settings: &NodeSettings, clock: &ClockSource) -> WriterId {
     let salt: u32 = rand::random();
     let name = format!("{}:{}:{salt:08x}", settings.instance, clock.now());
     WriterId::new(name).expect("instance ids are short enough")
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -19,10 +19,10 @@
 pub mod follow;
 pub mod handle;
 mod membership;
-pub mod notes;
 pub mod peers;
 pub mod restore;
 pub mod settings;
+pub mod urgent_records;
 pub mod withdraw;
 
 pub use append::AppendError;
--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -15,7 +15,7 @@
 use crate::{
     admin::NodeReport,
     announce,
-    handle::{NodeHandle, hold},
+    handle::{NodeHandle, lock},
     peers, withdraw,
 };
 
@@ -43,7 +43,7 @@
         let node = self.clone();
         tokio::spawn(peers::accept(node, listener, token.child_token()));
         let node = self.clone();
-        tokio::spawn(peers::keep(node, listing.clone(), token.child_token()));
+        tokio::spawn(peers::maintain(node, listing.clone(), token.child_token()));
         tokio::spawn(withdraw::run(self.clone(), token.child_token()));
         tokio::spawn(announce::run(self.clone(), listing, token.child_token()));
         Ok(peer_address)
@@ -78,7 +78,7 @@
     }
 
     pub(crate) fn members(&self) -> std::sync::MutexGuard<'_, MemberTable> {
-        hold(&self.state.members)
+        lock(&self.state.members)
     }
 
     pub(crate) fn note_listings(&self, listings: &[InstanceListing]) {
@@ -87,7 +87,7 @@
     }
 
     /// Puts this process's own state into what heartbeats carry.
-    pub(crate) fn refresh_own(&self, listing: &InstanceListing) {
+    pub(crate) fn refresh_local_presence(&self, listing: &InstanceListing) {
         let local = self.local();
         let presence = MemberPresence {
             failure_domain: listing.failure_domain.clone(),
@@ -103,9 +103,9 @@
     /// Makes the plan of connections anew. Readers are chosen among instances
     /// that are live; connections are also kept to suspected ones, or a cut
     /// path that heals would never be noticed.
-    pub(crate) fn replan(&self) -> Vec<InstanceListing> {
+    pub(crate) fn update_link_plan(&self) -> Vec<InstanceListing> {
         let now = self.state.clock.now();
-        let own = PlanMember {
+        let local_member = PlanMember {
             failure_domain: self.state.settings.failure_domain.clone(),
             instance: self.state.settings.instance.clone(),
         };
@@ -121,12 +121,13 @@
             .map(member)
             .collect();
         let all: Vec<PlanMember> = listings.iter().map(member).collect();
-        let mut plan = LinkPlan::new(&own, &live);
-        plan.neighbours.extend(LinkPlan::new(&own, &all).neighbours);
+        let mut plan = LinkPlan::new(&local_member, &live);
+        plan.neighbours
+            .extend(LinkPlan::new(&local_member, &all).neighbours);
         let expected: Vec<InstanceId> = plan.neighbours.iter().cloned().collect();
         members.set_expected_links(now, &expected);
         drop(members);
-        let wanted = listings
+        let targets = listings
             .into_iter()
             .filter(|listing| plan.neighbours.contains(&listing.instance))
             .collect();
@@ -135,13 +136,13 @@
             *current = plan;
             changed
         });
-        wanted
+        targets
     }
 
     /// The number of the connection to `peer` that stands; a later one has a
     /// greater number.
     pub fn link_number(&self, peer: &InstanceId) -> Option<u64> {
-        hold(&self.state.links).link(peer).map(|link| link.number)
+        lock(&self.state.links).link(peer).map(|link| link.number)
     }
 
     /// What this node tells operators of itself.
@@ -156,7 +157,7 @@
             obstacle: self.obstacle(),
             freshness: self.freshness(),
             reads_log: self.state.plan.borrow().is_reader,
-            links: hold(&self.state.links)
+            links: lock(&self.state.links)
                 .links()
                 .map(|(peer, _)| peer.clone())
                 .collect(),
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -24,12 +24,12 @@
 };
 
 use crate::{
-    handle::{NodeHandle, hold},
+    handle::{NodeHandle, lock},
     peers::wire::{FRAME_LIMIT, HelloMessage, PeerBody, PeerFrame},
 };
 
 /// The time between two heartbeats.
-pub const HEARTBEAT_EVERY: TimeSpan = TimeSpan::from_secs(1);
+pub const HEARTBEAT_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
 /// How many frames may wait to be sent.
 const FRAME_BACKLOG: usize = 256;
@@ -48,13 +48,13 @@
     Closed,
     /// Nothing came, or nothing could be sent, for too long.
     #[error("the connection went silent")]
-    Silent,
+    TimedOut,
     /// A frame can't be read.
     #[error("the peer sent a frame that can't be read: {0}")]
     Frame(String),
     /// This process is stopping, or a newer connection took this one's place.
     #[error("the connection is no longer wanted")]
-    Unwanted,
+    Cancelled,
 }
 
 /// One connection to a peer.
@@ -65,14 +65,14 @@
     /// The last stamp that the peer sent, to echo.
     pub(crate) echo: Option<u64>,
     /// How many bytes of news the peer takes in a second.
-    pub(crate) peer_share: usize,
+    pub(crate) peer_budget: usize,
     /// How many bytes of news may be sent with the next heartbeat.
     pub(crate) credit: usize,
     /// From which offset on the peer wants entries.
     pub(crate) pull: Option<LogOffset>,
     /// Parts of the state that was asked for.
     pub(crate) snapshot: bluebell_core::checkpoint::CheckpointReader,
-    heard_at: ClockTime,
+    last_seen: ClockTime,
 }
 
 /// Serves a connection until it ends.
@@ -87,7 +87,7 @@
         .max_frame_length(FRAME_LIMIT)
         .new_codec();
     let mut framed = Framed::new(stream, codec);
-    let peer = match greet(&node, &mut framed).await {
+    let peer = match handshake(&node, &mut framed).await {
         Ok(peer) => peer,
         Err(error) => {
             LogLine::new("peer_greeting_failed")
@@ -97,29 +97,29 @@
         }
     };
     let (sender, frames) = mpsc::channel(FRAME_BACKLOG);
-    let number = hold(&node.state.links).open(&peer, dialled, sender, token.clone());
+    let number = lock(&node.state.links).open(&peer, dialled, sender, token.clone());
     node.members().reset_link(&peer);
     let mut connection = PeerConnection {
-        heard_at: node.clock().now(),
+        last_seen: node.clock().now(),
         node: node.clone(),
         peer: peer.clone(),
         framed,
         echo: None,
-        peer_share: usize::MAX,
+        peer_budget: usize::MAX,
         credit: 0,
         pull: None,
         snapshot: bluebell_core::checkpoint::CheckpointReader::with_items(),
     };
     LogLine::new("peer_connected").with("peer", &peer).debug();
     let error = match connection.serve(frames, token).await {
-        Ok(()) => LinkError::Unwanted,
+        Ok(()) => LinkError::Cancelled,
         Err(error) => error,
     };
     LogLine::new("peer_disconnected")
         .with("peer", &peer)
         .with("reason", &error)
         .debug();
-    let last = hold(&node.state.links).close(&peer, number);
+    let last = lock(&node.state.links).close(&peer, number);
     let planned = node.state.plan.borrow().neighbours.contains(&peer);
     if last && !planned {
         let now = node.clock().now();
@@ -127,7 +127,7 @@
     }
 }
 
-async fn greet(
+async fn handshake(
     node: &NodeHandle,
     framed: &mut Framed<TcpStream, LengthDelimitedCodec>,
 ) -> Result<InstanceId, LinkError> {
@@ -137,7 +137,7 @@
         })),
     };
     let timeout = HEARTBEAT_TIMEOUT.as_duration();
-    let greeting = async {
+    let exchange = async {
         framed.send(Bytes::from(hello.encode_to_vec())).await?;
         let frame = framed.next().await.ok_or(LinkError::Closed)??;
         match decode(&frame)? {
@@ -148,9 +148,9 @@
             _ => Err(LinkError::Frame("the first is no greeting".to_string())),
         }
     };
-    let peer = tokio::time::timeout(timeout, greeting)
+    let peer = tokio::time::timeout(timeout, exchange)
         .await
-        .map_err(|_| LinkError::Silent)??;
+        .map_err(|_| LinkError::TimedOut)??;
     if peer == node.settings().instance {
         return Err(LinkError::Frame(format!("`{peer}` is our own name")));
     }
@@ -170,12 +170,12 @@
         mut frames: mpsc::Receiver<PeerBody>,
         token: CancellationToken,
     ) -> Result<(), LinkError> {
-        let mut beat = tokio::time::interval(HEARTBEAT_EVERY.as_duration());
-        beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut heartbeat_timer = tokio::time::interval(HEARTBEAT_INTERVAL.as_duration());
+        heartbeat_timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut progress = self.node.state.progress.subscribe();
-        let mut beats = self.node.state.beats.subscribe();
-        for note in self.node.notes_for_new_peer() {
-            self.send(PeerBody::UrgentRecord(note)).await?;
+        let mut heartbeat_requests = self.node.state.heartbeat_requests.subscribe();
+        for record in self.node.urgent_records_for_new_peer() {
+            self.send(PeerBody::UrgentRecord(record)).await?;
         }
         loop {
             tokio::select! {
@@ -183,31 +183,31 @@
                 frame = self.framed.next() => {
                     let frame = frame.ok_or(LinkError::Closed)??;
                     self.note_received(frame.len());
-                    self.take(decode(&frame)?).await?;
+                    self.handle_frame(decode(&frame)?).await?;
                 }
                 body = frames.recv() => {
-                    self.send(body.ok_or(LinkError::Unwanted)?).await?;
+                    self.send(body.ok_or(LinkError::Cancelled)?).await?;
                 }
-                _ = beat.tick() => {
-                    self.check_silence()?;
+                _ = heartbeat_timer.tick() => {
+                    self.check_timeout()?;
                     self.send_heartbeat().await?;
                 }
-                _ = beats.changed() => self.send_heartbeat().await?,
+                _ = heartbeat_requests.changed() => self.send_heartbeat().await?,
                 _ = progress.changed() => self.answer_pull().await?,
             }
         }
     }
 
-    fn check_silence(&self) -> Result<(), LinkError> {
-        let silence = self.node.clock().now().since(self.heard_at);
-        match silence > HEARTBEAT_TIMEOUT {
-            true => Err(LinkError::Silent),
+    fn check_timeout(&self) -> Result<(), LinkError> {
+        let idle_time = self.node.clock().now().since(self.last_seen);
+        match idle_time > HEARTBEAT_TIMEOUT {
+            true => Err(LinkError::TimedOut),
             false => Ok(()),
         }
     }
 
     fn note_received(&mut self, bytes: usize) {
-        self.heard_at = self.node.clock().now();
+        self.last_seen = self.node.clock().now();
         self.count(bytes);
     }
 
@@ -223,7 +223,7 @@
         let timeout = HEARTBEAT_TIMEOUT.as_duration();
         tokio::time::timeout(timeout, self.framed.send(frame))
             .await
-            .map_err(|_| LinkError::Silent)??;
+            .map_err(|_| LinkError::TimedOut)??;
         Ok(())
     }
 }
--- a/crates/node/src/peers/board.rs
+++ b/crates/node/src/peers/link_table.rs
@@ -32,15 +32,15 @@
 
 /// All connections that stand.
 #[derive(Clone, Debug, Default)]
-pub struct LinkBoard {
+pub struct LinkTable {
     links: BTreeMap<InstanceId, PeerLink>,
     opened: u64,
 }
 
-impl LinkBoard {
+impl LinkTable {
     /// No connection yet.
-    pub fn new() -> LinkBoard {
-        LinkBoard::default()
+    pub fn new() -> LinkTable {
+        LinkTable::default()
     }
 
     /// Puts a new connection in the place of an older one to the same peer, and
@@ -71,11 +71,11 @@
     /// Removes a connection that has ended, unless a newer one took its place;
     /// answers whether it was the peer's only one.
     pub fn close(&mut self, peer: &InstanceId, number: u64) -> bool {
-        let stands = self.links.get(peer).is_some_and(|l| l.number == number);
-        if stands {
+        let is_current = self.links.get(peer).is_some_and(|l| l.number == number);
+        if is_current {
             self.links.remove(peer);
         }
-        stands
+        is_current
     }
 
     /// The connection to `peer`.
--- a/crates/node/src/peers/messages.rs
+++ b/crates/node/src/peers/messages.rs
@@ -13,7 +13,7 @@
 use tokio::sync::broadcast;
 
 use crate::{
-    handle::{NodeHandle, hold},
+    handle::{NodeHandle, lock},
     peers::{
         link::{LinkError, PeerConnection},
         wire::{
@@ -25,22 +25,22 @@
 
 /// Bytes of news that one process sends, and takes, in a second over all its
 /// connections.
-const NEWS_BYTES: usize = 500;
+const UPDATE_BYTES_PER_SECOND: usize = 500;
 
 /// The fewest bytes that news is sent for: with many connections, a heartbeat
 /// without any goes between.
-const MIN_NEWS: usize = 64;
+const MIN_UPDATE_BYTES: usize = 64;
 
 /// The most bytes of news in one heartbeat.
-const MAX_NEWS: usize = 400;
+const MAX_UPDATE_BYTES: usize = 400;
 
 impl PeerConnection {
     /// Takes a frame.
-    pub(crate) async fn take(&mut self, body: PeerBody) -> Result<(), LinkError> {
+    pub(crate) async fn handle_frame(&mut self, body: PeerBody) -> Result<(), LinkError> {
         match body {
             PeerBody::Hello(_) => Err(LinkError::Frame("a second greeting".to_string())),
             PeerBody::Heartbeat(heartbeat) => {
-                self.take_heartbeat(heartbeat);
+                self.handle_heartbeat(heartbeat);
                 Ok(())
             }
             PeerBody::Pull(pull) => {
@@ -48,22 +48,22 @@
                 self.answer_pull().await
             }
             PeerBody::Entries(entries) => {
-                self.take_entries(entries);
+                self.handle_entries(entries);
                 Ok(())
             }
-            PeerBody::UrgentRecord(note) => {
-                self.node.take_note(&note, &self.peer);
+            PeerBody::UrgentRecord(message) => {
+                self.node.handle_urgent_record(&message, &self.peer);
                 Ok(())
             }
             PeerBody::SnapshotPull(_) => self.send_snapshot().await,
-            PeerBody::SnapshotPart(part) => self.take_snapshot_part(&part),
+            PeerBody::SnapshotPart(part) => self.handle_snapshot_part(&part),
         }
     }
 
     pub(crate) async fn send_heartbeat(&mut self) -> Result<(), LinkError> {
-        let own = self.node.settings().instance.clone();
-        let share = NEWS_BYTES / hold(&self.node.state.links).len().max(1);
-        let items = self.news(&own, share);
+        let local = self.node.settings().instance.clone();
+        let budget = UPDATE_BYTES_PER_SECOND / lock(&self.node.state.links).len().max(1);
+        let items = self.next_updates(&local, budget);
         let now = self.node.clock().now();
         let progress = self.node.progress();
         let heartbeat = HeartbeatMessage {
@@ -73,36 +73,36 @@
             freshness: self.node.freshness().map(TimeSpan::as_millis),
             caught_up: progress.caught_up,
             items,
-            update_budget: Some(share as u64),
+            update_budget: Some(budget as u64),
         };
         self.send(PeerBody::Heartbeat(heartbeat)).await
     }
 
     /// The news to send now: what this process may send over one connection and
     /// its peer takes, saved up until it is worth sending.
-    fn news(&mut self, own: &InstanceId, share: usize) -> Vec<ItemMessage> {
-        self.credit = (self.credit + share.min(self.peer_share)).min(MAX_NEWS);
-        if self.credit < MIN_NEWS {
+    fn next_updates(&mut self, local: &InstanceId, budget: usize) -> Vec<ItemMessage> {
+        self.credit = (self.credit + budget.min(self.peer_budget)).min(MAX_UPDATE_BYTES);
+        if self.credit < MIN_UPDATE_BYTES {
             return Vec::new();
         }
         let items = self.node.members().heartbeat_items(&self.peer, self.credit);
         let items: Vec<ItemMessage> = items
             .iter()
-            .map(|item| ItemMessage::new(own, item))
+            .map(|item| ItemMessage::new(local, item))
             .collect();
         let bytes: usize = items.iter().map(Message::encoded_len).sum();
         self.credit = self.credit.saturating_sub(bytes);
         items
     }
 
-    fn take_heartbeat(&mut self, heartbeat: HeartbeatMessage) {
+    fn handle_heartbeat(&mut self, heartbeat: HeartbeatMessage) {
         self.echo = Some(heartbeat.stamp);
-        if let Some(share) = heartbeat.update_budget {
-            self.peer_share = share as usize;
+        if let Some(budget) = heartbeat.update_budget {
+            self.peer_budget = budget as usize;
         }
         let next = LogOffset::new(heartbeat.next_offset);
         let now = self.node.clock().now();
-        if let Some(link) = hold(&self.node.state.links).link_mut(&self.peer) {
+        if let Some(link) = lock(&self.node.state.links).link_mut(&self.peer) {
             link.next_offset = Some(next);
             link.caught_up = heartbeat.caught_up;
         }
@@ -115,7 +115,7 @@
         let items: Vec<_> = items.filter_map(|i| i.into_item(&self.peer)).collect();
         self.node.members().receive(now, &self.peer, &items);
         // Without the log, a peer that is ahead is the only way to learn more.
-        if next > self.node.progress().next && self.node.reads_late() {
+        if next > self.node.progress().next && self.node.is_log_reading_late() {
             self.node.pull(&self.peer);
         }
     }
@@ -124,33 +124,33 @@
         let Some(from) = self.pull else {
             return Ok(());
         };
-        let (first_held, entries) = {
+        let (first_buffered, entries) = {
             let log = self.node.log();
             let next = log.view.next_offset();
             if from >= next {
                 return Ok(());
             }
-            (log.buffer.first_held(next), log.buffer.read(from))
+            (log.buffer.first_buffered(next), log.buffer.read(from))
         };
         self.pull = None;
         let answer = EntriesMessage {
-            first_held: first_held.number(),
+            first_buffered: first_buffered.number(),
             entries: entries.iter().map(EntryMessage::new).collect(),
         };
         self.send(PeerBody::Entries(answer)).await
     }
 
-    fn take_entries(&mut self, message: EntriesMessage) {
-        let first_held = LogOffset::new(message.first_held);
+    fn handle_entries(&mut self, message: EntriesMessage) {
+        let first_buffered = LogOffset::new(message.first_buffered);
         for entry in message.entries {
             if let Some(raw) = entry.into_entry() {
                 self.node.apply_raw(raw);
             }
         }
-        if let Some(link) = hold(&self.node.state.links).link_mut(&self.peer) {
+        if let Some(link) = lock(&self.node.state.links).link_mut(&self.peer) {
             link.pulled_at = None;
         }
-        if first_held > self.node.progress().next {
+        if first_buffered > self.node.progress().next {
             self.node.pull_snapshot();
             return;
         }
@@ -174,7 +174,7 @@
         Ok(())
     }
 
-    fn take_snapshot_part(&mut self, message: &SnapshotPartMessage) -> Result<(), LinkError> {
+    fn handle_snapshot_part(&mut self, message: &SnapshotPartMessage) -> Result<(), LinkError> {
         let part: CheckpointPart = serde_json::from_str(&message.payload)
             .map_err(|error| LinkError::Frame(error.to_string()))?;
         let now = self.node.clock().now();
@@ -189,11 +189,11 @@
         );
         if let Some(snapshot) = reader.into_usable(LogOffset::START) {
             let view = FleetView::with_checkpoint(now, snapshot.as_of, &snapshot.items);
-            let taken = self.node.replace_view(view);
+            let replaced = self.node.replace_view(view);
             LogLine::new("snapshot_restored")
                 .with("peer", &self.peer)
                 .with("as_of", snapshot.as_of)
-                .with("taken", taken)
+                .with("taken", replaced)
                 .info();
             self.node.pull(&self.peer);
         }
@@ -204,16 +204,18 @@
 impl NodeHandle {
     /// Whether this node's own reading of the log does not keep up: it may then
     /// take entries from any peer.
-    fn reads_late(&self) -> bool {
-        let slack = TimeSpan::from_secs(1) + self.settings().read_wait;
+    fn is_log_reading_late(&self) -> bool {
+        let max_age = TimeSpan::from_secs(1) + self.settings().read_wait;
         let read_at = self.progress().read_at;
         let now = self.clock().now();
-        read_at.is_none_or(|read_at| now.since(read_at) > slack)
+        read_at.is_none_or(|read_at| now.since(read_at) > max_age)
     }
 
     /// Makes all connections send a heartbeat now.
-    pub(crate) fn beat_now(&self) {
-        self.state.beats.send_modify(|beats| *beats += 1);
+    pub(crate) fn request_heartbeats(&self) {
+        self.state
+            .heartbeat_requests
+            .send_modify(|heartbeat_requests| *heartbeat_requests += 1);
     }
 
     /// Tells all peers a record that can't wait for the log: a withdrawal, a
@@ -222,44 +224,45 @@
         let Ok(payload) = serde_json::to_string(record) else {
             return;
         };
-        if !hold(&self.state.notes).take(&payload) {
+        if !lock(&self.state.urgent_records).insert(&payload) {
             return;
         }
-        let note = PeerBody::UrgentRecord(UrgentRecordMessage { payload });
-        hold(&self.state.links).broadcast(&note, None);
+        let message = PeerBody::UrgentRecord(UrgentRecordMessage { payload });
+        lock(&self.state.links).broadcast(&message, None);
     }
 
     /// Records that peers told before they stood in the log. Withdrawals are
     /// not among them: they have taken effect already.
     pub fn subscribe_urgent_records(&self) -> broadcast::Receiver<LogRecord> {
-        self.state.note_events.subscribe()
+        self.state.urgent_record_events.subscribe()
     }
 
-    fn take_note(&self, note: &UrgentRecordMessage, from: &InstanceId) {
-        let Ok(record) = serde_json::from_str::<LogRecord>(&note.payload) else {
+    fn handle_urgent_record(&self, message: &UrgentRecordMessage, from: &InstanceId) {
+        let Ok(record) = serde_json::from_str::<LogRecord>(&message.payload) else {
             return;
         };
-        if !hold(&self.state.notes).take(&note.payload) {
+        if !lock(&self.state.urgent_records).insert(&message.payload) {
             return;
         }
-        hold(&self.state.links).broadcast(&PeerBody::UrgentRecord(note.clone()), Some(from));
+        lock(&self.state.links).broadcast(&PeerBody::UrgentRecord(message.clone()), Some(from));
         match record {
-            LogRecord::Withdraw(withdrawal) => self.take_peer_withdrawal(&withdrawal, from),
+            LogRecord::Withdraw(withdrawal) => self.apply_peer_withdrawal(&withdrawal, from),
             record => {
-                let _ = self.state.note_events.send(record);
+                let _ = self.state.urgent_record_events.send(record);
             }
         }
     }
 
-    pub(crate) fn notes_for_new_peer(&self) -> Vec<UrgentRecordMessage> {
-        let mut payloads: Vec<String> = hold(&self.state.notes).recent().cloned().collect();
-        for record in hold(&self.state.withdrawals).records() {
+    pub(crate) fn urgent_records_for_new_peer(&self) -> Vec<UrgentRecordMessage> {
+        let mut payloads: Vec<String> =
+            lock(&self.state.urgent_records).recent().cloned().collect();
+        for record in lock(&self.state.withdrawals).records() {
             let record = LogRecord::Withdraw(record.clone());
             payloads.extend(serde_json::to_string(&record));
         }
         payloads.sort_unstable();
         payloads.dedup();
-        let note = |payload| UrgentRecordMessage { payload };
-        payloads.into_iter().map(note).collect()
+        let message = |payload| UrgentRecordMessage { payload };
+        payloads.into_iter().map(message).collect()
     }
 }
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -4,8 +4,8 @@
 //! once, the other only after a while, so that two seldom cross; where they do,
 //! the newer takes the place of the older.
 
-pub mod board;
 mod link;
+pub mod link_table;
 mod messages;
 pub mod wire;
 
@@ -20,16 +20,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-use crate::handle::{NodeHandle, hold};
+use crate::handle::{NodeHandle, lock};
 
 /// How often the wanted connections are looked at.
-const KEEP_EVERY: TimeSpan = TimeSpan::from_millis(500);
+const MAINTENANCE_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
 
 /// How long the instance with the greater name leaves it to the other to connect.
-const PATIENCE: TimeSpan = TimeSpan::from_secs(2);
+const DIAL_DELAY: TimeSpan = TimeSpan::from_secs(2);
 
 /// The time between two tries to connect to one peer.
-const DIAL_EVERY: TimeSpan = TimeSpan::from_secs(1);
+const DIAL_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
 /// How long a connection may take to open.
 const DIAL_TIMEOUT: TimeSpan = TimeSpan::from_secs(1);
@@ -50,35 +50,35 @@
                 LogLine::new("peer_accept_failed")
                     .with("error", error)
                     .warn();
-                tokio::time::sleep(KEEP_EVERY.as_duration()).await;
+                tokio::time::sleep(MAINTENANCE_INTERVAL.as_duration()).await;
             }
         }
     }
 }
 
 /// Keeps the planned connections open until `token` is cancelled.
-pub(crate) async fn keep(node: NodeHandle, own: InstanceListing, token: CancellationToken) {
-    let mut tries: BTreeMap<InstanceId, ClockTime> = BTreeMap::new();
+pub(crate) async fn maintain(node: NodeHandle, local: InstanceListing, token: CancellationToken) {
+    let mut dialled_at: BTreeMap<InstanceId, ClockTime> = BTreeMap::new();
     let mut missing: BTreeMap<InstanceId, ClockTime> = BTreeMap::new();
     loop {
-        node.refresh_own(&own);
-        let wanted = node.replan();
+        node.refresh_local_presence(&local);
+        let targets = node.update_link_plan();
         let now = node.clock().now();
-        close_unwanted(&node);
-        missing.retain(|peer, _| wanted.iter().any(|l| l.instance == *peer));
-        for listing in wanted {
+        close_unplanned(&node);
+        missing.retain(|peer, _| targets.iter().any(|l| l.instance == *peer));
+        for listing in targets {
             let peer = &listing.instance;
-            if hold(&node.state.links).link(peer).is_some() {
+            if lock(&node.state.links).link(peer).is_some() {
                 missing.remove(peer);
                 continue;
             }
             let since = *missing.entry(peer.clone()).or_insert(now);
-            let tried = tries
+            let dialled_recently = dialled_at
                 .get(peer)
-                .is_some_and(|at| now.since(*at) < DIAL_EVERY);
-            let ours = own.instance < *peer || now.since(since) >= PATIENCE;
-            if ours && !tried {
-                tries.insert(peer.clone(), now);
+                .is_some_and(|at| now.since(*at) < DIAL_INTERVAL);
+            let may_dial = local.instance < *peer || now.since(since) >= DIAL_DELAY;
+            if may_dial && !dialled_recently {
+                dialled_at.insert(peer.clone(), now);
                 tokio::spawn(dial(node.clone(), listing, token.child_token()));
             }
         }
@@ -86,18 +86,18 @@
         tokio::select! {
             () = token.cancelled() => return,
             () = node.local_changed(state) => {
-                node.refresh_own(&own);
-                node.beat_now();
+                node.refresh_local_presence(&local);
+                node.request_heartbeats();
             }
-            () = tokio::time::sleep(KEEP_EVERY.as_duration()) => {}
+            () = tokio::time::sleep(MAINTENANCE_INTERVAL.as_duration()) => {}
         }
     }
 }
 
 /// Ends connections that this process opened and the plan no longer wants.
-fn close_unwanted(node: &NodeHandle) {
+fn close_unplanned(node: &NodeHandle) {
     let plan = node.state.plan.borrow().clone();
-    for (peer, link) in hold(&node.state.links).links() {
+    for (peer, link) in lock(&node.state.links).links() {
         if link.dialled && !plan.neighbours.contains(peer) {
             link.token.cancel();
         }
--- a/crates/node/src/peers/wire.rs
+++ b/crates/node/src/peers/wire.rs
@@ -100,7 +100,7 @@
     /// The oldest offset that the sender can still relay. If it lies beyond what
     /// the receiver asked for, the receiver needs a snapshot.
     #[prost(uint64, tag = "1")]
-    pub first_held: u64,
+    pub first_buffered: u64,
     /// The entries.
     #[prost(message, repeated, tag = "2")]
     pub entries: Vec<EntryMessage>,
--- a/crates/node/src/restore.rs
+++ b/crates/node/src/restore.rs
@@ -17,12 +17,12 @@
 use bluebell_platform::{PlatformClient, PlatformError};
 
 use crate::{
-    follow::{READ_LIMIT, decode, note_failure},
+    follow::{MAX_READ_ENTRIES, decode, note_failure},
     handle::NodeHandle,
 };
 
 /// The pause before another try when nothing could be restored.
-const RETRY_PAUSE: TimeSpan = TimeSpan::from_millis(500);
+const RETRY_DELAY: TimeSpan = TimeSpan::from_millis(500);
 
 /// Restores the view of `node`, whose next entry the log no longer keeps.
 pub(crate) async fn restore(node: &NodeHandle, client: &PlatformClient, first_kept: LogOffset) {
@@ -35,13 +35,13 @@
         Ok(Some(checkpoint)) => {
             let now = node.clock().now();
             let view = FleetView::with_checkpoint(now, checkpoint.as_of, &checkpoint.items);
-            let taken = node.replace_view(view);
+            let replaced = node.replace_view(view);
             LogLine::new("checkpoint_restored")
                 .with("as_of", checkpoint.as_of)
                 .with("items", checkpoint.items.len())
-                .with("taken", taken)
+                .with("taken", replaced)
                 .info();
-            if taken {
+            if replaced {
                 return;
             }
         }
@@ -52,7 +52,7 @@
     node.note_obstacle(format!(
         "the log keeps entries from {first_kept} on, {next} is needed, and neither a complete checkpoint nor a peer that is further is in reach"
     ));
-    tokio::time::sleep(RETRY_PAUSE.as_duration()).await;
+    tokio::time::sleep(RETRY_DELAY.as_duration()).await;
 }
 
 /// Reads all that the log keeps, for the newest checkpoint that can be read on from.
@@ -63,7 +63,7 @@
     let mut reader = CheckpointReader::with_items();
     let mut from = first_kept;
     loop {
-        let answer = client.read(from, READ_LIMIT, TimeSpan::ZERO).await?;
+        let answer = client.read(from, MAX_READ_ENTRIES, TimeSpan::ZERO).await?;
         for raw in &answer.entries {
             let entry = decode(raw);
             if let LogRecord::Checkpoint(part) = &entry.record {
--- a/crates/node/src/withdraw.rs
+++ b/crates/node/src/withdraw.rs
@@ -15,13 +15,13 @@
 use bluebell_daemon::logs::LogLine;
 use tokio_util::sync::CancellationToken;
 
-use crate::handle::{NodeHandle, hold};
+use crate::handle::{NodeHandle, lock};
 
 /// The time between two tries to append.
-const TRY_EVERY: TimeSpan = TimeSpan::from_secs(1);
+const APPEND_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
 /// How long those who were told by a peer leave the append to whoever told.
-const PEER_DELAY: TimeSpan = TimeSpan::from_secs(10);
+const PEER_APPEND_DELAY: TimeSpan = TimeSpan::from_secs(10);
 
 #[derive(Clone, Debug)]
 struct PendingWithdrawal {
@@ -71,24 +71,24 @@
     /// returns, is passed on to peers at once, and is appended until it stands.
     pub fn withdraw(&self, withdrawal: &WithdrawRecord) {
         let now = self.state.clock.now();
-        self.take_withdrawal(withdrawal, now);
+        self.apply_withdrawal(withdrawal, now);
         self.broadcast_urgent_record(&LogRecord::Withdraw(withdrawal.clone()));
     }
 
     /// Takes a withdrawal that a peer has passed on.
-    pub(crate) fn take_peer_withdrawal(&self, withdrawal: &WithdrawRecord, from: &InstanceId) {
+    pub(crate) fn apply_peer_withdrawal(&self, withdrawal: &WithdrawRecord, from: &InstanceId) {
         let now = self.state.clock.now();
         LogLine::new("key_withdrawn_by_peer")
             .with("digest", withdrawal.digest.short())
             .with("peer", from)
             .info();
-        self.take_withdrawal(withdrawal, now + PEER_DELAY);
+        self.apply_withdrawal(withdrawal, now + PEER_APPEND_DELAY);
     }
 
-    fn take_withdrawal(&self, withdrawal: &WithdrawRecord, due: ClockTime) {
-        hold(&self.state.withdrawals).add(withdrawal, due);
+    fn apply_withdrawal(&self, withdrawal: &WithdrawRecord, due: ClockTime) {
+        lock(&self.state.withdrawals).add(withdrawal, due);
         let events = self.log().view.withdraw(withdrawal);
-        self.tell(events);
+        self.publish_events(events);
     }
 }
 
@@ -97,10 +97,10 @@
     loop {
         tokio::select! {
             () = token.cancelled() => return,
-            () = tokio::time::sleep(TRY_EVERY.as_duration()) => {}
+            () = tokio::time::sleep(APPEND_INTERVAL.as_duration()) => {}
         }
         let now = node.clock().now();
-        let due = hold(&node.state.withdrawals).due(now);
+        let due = lock(&node.state.withdrawals).due(now);
         for record in due {
             let digest = record.digest.clone();
             match node.append(LogRecord::Withdraw(record)).await {
--- a/crates/node/tests/events.rs
+++ b/crates/node/tests/events.rs
@@ -39,7 +39,7 @@
 /// ended before the outcome was told, the command would say that it does not
 /// know whether the publish is in force although it is.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_was_waited_for_has_told_its_event() {
+async fn the_event_of_an_entry_is_sent_before_a_wait_for_the_entry_ends() {
     let token = CancellationToken::new();
     let node = node(&token);
     for number in 0..ROUNDS {
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -13,7 +13,7 @@
     units::{TokenCount, WorkCost},
 };
 use standin_platform::faults::PlatformFaults;
-use support::{PATIENCE, TestPlatform, key, organisation, until, withdrawal};
+use support::{TestPlatform, WAIT_TIMEOUT, key, organisation, wait_until, withdrawal};
 
 fn status(state: InstanceState) -> LocalStatus {
     LocalStatus {
@@ -40,21 +40,21 @@
 /// Entries that don't know of each other's work send all of it to the same
 /// endpoint and serve one organisation several times its share.
 #[tokio::test(flavor = "multi_thread")]
-async fn instances_tell_their_work_to_all_also_across_failure_domains() {
+async fn instances_report_their_load_to_all_peers_across_failure_domains() {
     let platform = TestPlatform::start(10_000).await;
     let mut nodes = Vec::new();
     for (name, domain) in [("a", "x"), ("b", "x"), ("c", "y"), ("d", "z"), ("e", "z")] {
         nodes.push(platform.join(name, domain).await);
     }
     nodes[0].node.set_local(status(InstanceState::Live));
-    let knows = |node: &support::TestNode| {
+    let has_status = |node: &support::TestNode| {
         let peers = node.node.peers();
         peers
             .iter()
             .any(|peer| peer.instance.as_str() == "a" && peer.status == status(InstanceState::Live))
     };
     for node in &nodes[1..] {
-        until("the work of `a`", || knows(node)).await;
+        wait_until("the work of `a`", || has_status(node)).await;
     }
     nodes[0].node.set_local(status(InstanceState::Leaving));
     let leaving = |node: &support::TestNode| {
@@ -64,7 +64,7 @@
             .any(|p| p.instance.as_str() == "a" && p.state == InstanceState::Leaving)
     };
     for node in &nodes[1..] {
-        until("`a` leaving", || leaving(node)).await;
+        wait_until("`a` leaving", || leaving(node)).await;
     }
 }
 
@@ -77,10 +77,10 @@
     let b = platform.join("b", "x").await;
     let c = platform.join("c", "y").await;
     for node in [&a, &b, &c] {
-        assert!(node.node.wait_caught_up(PATIENCE).await);
+        assert!(node.node.wait_caught_up(WAIT_TIMEOUT).await);
     }
-    until("links of `c`", || c.has_peer(&a) || c.has_peer(&b)).await;
-    until("link of `a` and `b`", || a.has_peer(&b)).await;
+    wait_until("links of `c`", || c.has_peer(&a) || c.has_peer(&b)).await;
+    wait_until("link of `a` and `b`", || a.has_peer(&b)).await;
     let mut faults = PlatformFaults::default();
     faults
         .cut_domains
@@ -89,11 +89,11 @@
     let cut_at = c.node.clock().now();
     // A read that was under way when the path was cut may still bring the first.
     let first = a.publish(organisation("one", None, 5)).await;
-    assert!(c.node.wait_applied(first, PATIENCE).await);
+    assert!(c.node.wait_applied(first, WAIT_TIMEOUT).await);
     let second = a.publish(organisation("one", Some(first), 6)).await;
-    assert!(c.node.wait_applied(second, PATIENCE).await);
+    assert!(c.node.wait_applied(second, WAIT_TIMEOUT).await);
     assert_eq!(c.weight("one"), Some(6));
-    until("knowledge from after the cut", || {
+    wait_until("knowledge from after the cut", || {
         let now = c.node.clock().now();
         c.node.freshness().is_some_and(|age| now - age > cut_at)
     })
@@ -113,18 +113,18 @@
         let reads = |node: &&support::TestNode| node.node.report().reads_log;
         nodes.iter().filter(reads).count()
     };
-    until("two readers", || readers(&nodes) == 2).await;
+    wait_until("two readers", || readers(&nodes) == 2).await;
     let offset = nodes[0].publish(organisation("one", None, 5)).await;
     for node in &nodes {
-        assert!(node.node.wait_applied(offset, PATIENCE).await);
+        assert!(node.node.wait_applied(offset, WAIT_TIMEOUT).await);
     }
-    let gone = nodes.iter().position(|node| node.node.report().reads_log);
-    drop(nodes.remove(gone.expect("two read")));
-    until("two readers again", || readers(&nodes) == 2).await;
+    let reader = nodes.iter().position(|node| node.node.report().reads_log);
+    drop(nodes.remove(reader.expect("two read")));
+    wait_until("two readers again", || readers(&nodes) == 2).await;
     let base = Some(offset);
     let offset = nodes[0].publish(organisation("one", base, 6)).await;
     for node in &nodes {
-        assert!(node.node.wait_applied(offset, PATIENCE).await);
+        assert!(node.node.wait_applied(offset, WAIT_TIMEOUT).await);
         assert_eq!(node.weight("one"), Some(6));
     }
 }
@@ -133,7 +133,7 @@
 /// but not all of its failure domain have reached it. Those who never did must not
 /// take it for one of the two that read the log, or only one is left that does.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_instance_that_nobody_reached_is_not_counted_as_a_reader() {
+async fn an_instance_that_no_peer_reached_is_not_counted_as_a_reader() {
     let platform = TestPlatform::start(10_000).await;
     let names = ["a", "b", "c"];
     let lost = (0..).map(|n| format!("lost-{n}"));
@@ -159,17 +159,17 @@
         http_address: address.clone(),
         peer_address: address,
     };
-    let told = nodes[0].node.platform().announce(&listing).await;
-    told.expect("the list takes it");
+    let received = nodes[0].node.platform().announce(&listing).await;
+    received.expect("the list takes it");
     for node in &nodes {
-        let knows = || {
+        let is_listed = || {
             let peers = node.node.peers();
             peers.iter().any(|peer| peer.instance == lost.instance)
         };
-        until("the lost one's listing", knows).await;
+        wait_until("the lost one's listing", is_listed).await;
     }
     let reads = |node: &&support::TestNode| node.node.report().reads_log;
-    until("two readers among the living", || {
+    wait_until("two readers among the living", || {
         nodes.iter().filter(reads).count() == 2
     })
     .await;
@@ -179,36 +179,36 @@
 /// all the same, ends the key's work there, and stands in the log once that is
 /// back, also if the instance that took it has been lost meanwhile.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_withdrawal_reaches_everyone_while_the_log_is_down() {
+async fn a_withdrawal_reaches_all_instances_while_the_log_is_down() {
     let platform = TestPlatform::start(10_000).await;
     let a = platform.join("a", "x").await;
     let b = platform.join("b", "x").await;
     let c = platform.join("c", "y").await;
     let offset = a.publish(key("k", "secret")).await;
     for node in [&b, &c] {
-        assert!(node.node.wait_applied(offset, PATIENCE).await);
-        assert!(node.admits("secret"));
+        assert!(node.node.wait_applied(offset, WAIT_TIMEOUT).await);
+        assert!(node.accepts_key("secret"));
     }
-    until("links", || {
+    wait_until("links", || {
         a.has_peer(&b) && (c.has_peer(&a) || c.has_peer(&b))
     })
     .await;
     platform.log_down().await;
     a.node.withdraw(&withdrawal("secret"));
-    assert!(!a.admits("secret"));
+    assert!(!a.accepts_key("secret"));
     for node in [&b, &c] {
-        until("the withdrawal", || !node.admits("secret")).await;
+        wait_until("the withdrawal", || !node.accepts_key("secret")).await;
     }
     drop(a);
     let late = platform.join("late", "y").await;
-    until("the withdrawal at a late peer", || {
+    wait_until("the withdrawal at a late peer", || {
         late.node
             .with_view(|view| view.keys.is_withdrawn(&withdrawal("secret").digest))
     })
     .await;
     platform.heal().await;
     let outside = platform.follow("outside");
-    until("the withdrawal in the log", || {
+    wait_until("the withdrawal in the log", || {
         outside
             .node
             .with_view(|view| view.keys.is_withdrawn(&withdrawal("secret").digest))
@@ -219,13 +219,13 @@
 /// A request that crashes engines is sent again to another entry while the log
 /// is down; that entry must have heard of it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_note_reaches_peers_without_the_log() {
+async fn an_urgent_record_reaches_peers_without_the_log() {
     let platform = TestPlatform::start(10_000).await;
     let a = platform.join("a", "x").await;
     let b = platform.join("b", "y").await;
-    until("a link", || a.has_peer(&b) && b.has_peer(&a)).await;
+    wait_until("a link", || a.has_peer(&b) && b.has_peer(&a)).await;
     platform.log_down().await;
-    let mut notes = b.node.subscribe_urgent_records();
+    let mut urgent_records = b.node.subscribe_urgent_records();
     let one = OrganisationId::new("one").expect("valid");
     let record = LogRecord::Quarantine(QuarantineRecord {
         fingerprint: RequestFingerprint::with_content(&one, b"poison"),
@@ -235,32 +235,32 @@
         cleared: false,
     });
     a.node.broadcast_urgent_record(&record);
-    let told = tokio::time::timeout(PATIENCE.as_duration(), notes.recv()).await;
-    assert_eq!(told.expect("told in time").expect("told"), record);
+    let received = tokio::time::timeout(WAIT_TIMEOUT.as_duration(), urgent_records.recv()).await;
+    assert_eq!(received.expect("told in time").expect("told"), record);
 }
 
 /// Something between two instances loses track of their connection: it stays
 /// open at both ends and carries nothing any more, while new ones would work.
 /// Without a limit on silence, the two would never hear of each other again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_connection_that_goes_silent_is_replaced_by_a_new_one() {
+async fn a_stalled_connection_is_replaced_by_a_new_one() {
     let platform = TestPlatform::start(10_000).await;
-    let path = support::SilentPath::start().await;
+    let proxy = support::StallingProxy::start().await;
     let mut settings = platform.settings("b", "y");
-    settings.peer_advertise = Some(path.address);
+    settings.peer_advertise = Some(proxy.address);
     let a = platform.join("a", "x").await;
     let b = platform.join_with(settings).await;
-    path.lead_to(b.peer_address);
-    until("a link", || a.has_peer(&b) && b.has_peer(&a)).await;
+    proxy.set_target(b.peer_address);
+    wait_until("a link", || a.has_peer(&b) && b.has_peer(&a)).await;
     let before = a.node.link_number(b.name());
-    path.silence();
-    until("another link", || {
+    proxy.stall_connections();
+    wait_until("another link", || {
         let now = a.node.link_number(b.name());
         now.is_some() && now != before
     })
     .await;
     a.node.set_local(status(InstanceState::Live));
-    until("news over the new link", || {
+    wait_until("news over the new link", || {
         let peers = b.node.peers();
         peers
             .iter()
@@ -272,37 +272,37 @@
 /// A failure domain is cut off from the platform and from its peers while a key
 /// is withdrawn elsewhere. It can't know; it must know that it can't.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_off_instance_knows_how_old_its_knowledge_is() {
+async fn a_partitioned_instance_reports_the_age_of_its_view() {
     let platform = TestPlatform::start(10_000).await;
     let a = platform.join("a", "x").await;
     let alone = platform.follow("alone");
     let offset = a.publish(key("k", "secret")).await;
-    assert!(alone.node.wait_applied(offset, PATIENCE).await);
+    assert!(alone.node.wait_applied(offset, WAIT_TIMEOUT).await);
     let mut faults = PlatformFaults::default();
     faults.cut_instances.insert(alone.name().clone());
     platform.set(faults).await;
     // The read that was under way when the path was cut has ended once two more
     // have begun.
     let reads = alone.node.log_reads();
-    until("refused reads", || alone.node.log_reads() >= reads + 2).await;
+    wait_until("refused reads", || alone.node.log_reads() >= reads + 2).await;
     let withdrawn_at = alone.node.clock().now();
     a.node.withdraw(&withdrawal("secret"));
     let bound = TimeSpan::from_secs(1);
     let reads = alone.node.log_reads();
-    until("refused reads after it", || {
+    wait_until("refused reads after it", || {
         alone.node.log_reads() >= reads + 3
     })
     .await;
-    until("old knowledge", || {
+    wait_until("old knowledge", || {
         alone.node.freshness().is_some_and(|age| age > bound)
     })
     .await;
     let age = alone.node.freshness().expect("it knew the log once");
     assert!(alone.node.clock().now() - age <= withdrawn_at);
-    assert!(alone.admits("secret"));
+    assert!(alone.accepts_key("secret"));
     platform.heal().await;
-    until("the withdrawal", || !alone.admits("secret")).await;
-    until("fresh knowledge", || {
+    wait_until("the withdrawal", || !alone.accepts_key("secret")).await;
+    wait_until("fresh knowledge", || {
         let now = alone.node.clock().now();
         let age = alone.node.freshness();
         age.is_some_and(|age| now - age > withdrawn_at)
--- a/crates/node/tests/restore.rs
+++ b/crates/node/tests/restore.rs
@@ -10,10 +10,10 @@
 };
 use bluebell_node::AppendError;
 use standin_platform::faults::{EffectCall, LossKind, LostAnswers, PlatformFaults};
-use support::{PATIENCE, TestNode, TestPlatform, key, organisation, until, withdrawal};
+use support::{TestNode, TestPlatform, WAIT_TIMEOUT, key, organisation, wait_until, withdrawal};
 
 /// Makes the log forget everything up to now.
-async fn fill(node: &TestNode, records: usize) {
+async fn append_fillers(node: &TestNode, records: usize) {
     for _ in 0..records {
         let record = LogRecord::Withdraw(withdrawal("some other key"));
         node.node.append(record).await.expect("appended");
@@ -28,7 +28,7 @@
     while let Some(part) = writer.next_part() {
         let record = LogRecord::Checkpoint(part);
         let offset = node.node.append(record).await.expect("appended");
-        assert!(node.node.wait_applied(offset, PATIENCE).await);
+        assert!(node.node.wait_applied(offset, WAIT_TIMEOUT).await);
     }
 }
 
@@ -55,20 +55,20 @@
     let second = before.publish(organisation("one", Some(first), 2)).await;
     before.publish(key("k", "secret")).await;
     before.node.withdraw(&withdrawal("secret"));
-    fill(&before, 25).await;
+    append_fillers(&before, 25).await;
     checkpoint(&before).await;
-    fill(&before, 20).await;
+    append_fillers(&before, 20).await;
     drop(before);
     let after = platform.join("after", "x").await;
-    assert!(after.node.wait_caught_up(PATIENCE).await);
+    assert!(after.node.wait_caught_up(WAIT_TIMEOUT).await);
     assert_eq!(after.weight("one"), Some(2));
-    assert!(!after.admits("secret"));
+    assert!(!after.accepts_key("secret"));
     let record = LogRecord::Publish(bluebell_core::records::PublishRecord {
         publisher: "late".to_string(),
         changes: vec![organisation("one", Some(first), 1)],
     });
     let offset = after.node.append(record).await.expect("appended");
-    assert!(after.node.wait_applied(offset, PATIENCE).await);
+    assert!(after.node.wait_applied(offset, WAIT_TIMEOUT).await);
     assert_eq!(after.weight("one"), Some(2));
     after.publish(organisation("one", Some(second), 3)).await;
     assert_eq!(after.weight("one"), Some(3));
@@ -78,13 +78,13 @@
 /// would give a process without services, keys and claims that believes itself
 /// up to date; it stays not ready and says why.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gap_that_nothing_closes_is_told_and_not_skipped() {
+async fn a_gap_that_nothing_closes_is_reported_and_not_skipped() {
     let platform = TestPlatform::start(10).await;
     let before = platform.follow("before");
     before.publish(organisation("one", None, 1)).await;
-    fill(&before, 20).await;
+    append_fillers(&before, 20).await;
     let after = platform.join("after", "x").await;
-    until("the obstacle", || {
+    wait_until("the obstacle", || {
         let obstacle = after.node.obstacle();
         obstacle.is_some_and(|obstacle| obstacle.contains("neither a complete checkpoint"))
     })
@@ -100,15 +100,15 @@
     let platform = TestPlatform::start(30).await;
     let oldest = platform.follow("oldest");
     oldest.publish(organisation("one", None, 7)).await;
-    fill(&oldest, 25).await;
+    append_fillers(&oldest, 25).await;
     checkpoint(&oldest).await;
-    fill(&oldest, 10).await;
+    append_fillers(&oldest, 10).await;
     let before = platform.join("before", "x").await;
-    assert!(before.node.wait_caught_up(PATIENCE).await);
-    fill(&oldest, 30).await;
+    assert!(before.node.wait_caught_up(WAIT_TIMEOUT).await);
+    append_fillers(&oldest, 30).await;
     drop(oldest);
     let after = platform.join("after", "x").await;
-    assert!(after.node.wait_caught_up(PATIENCE).await);
+    assert!(after.node.wait_caught_up(WAIT_TIMEOUT).await);
     assert_eq!(after.weight("one"), Some(7));
 }
 
@@ -119,43 +119,43 @@
     let platform = TestPlatform::start(10_000).await;
     let before = platform.join("before", "x").await;
     before.publish(organisation("one", None, 7)).await;
-    assert!(before.node.wait_caught_up(PATIENCE).await);
+    assert!(before.node.wait_caught_up(WAIT_TIMEOUT).await);
     platform.log_down().await;
     let after = platform.join("after", "y").await;
-    assert!(after.node.wait_caught_up(PATIENCE).await);
+    assert!(after.node.wait_caught_up(WAIT_TIMEOUT).await);
     assert_eq!(after.weight("one"), Some(7));
     assert_eq!(after.node.progress().next, before.node.progress().next);
 }
 
 /// Every instance was lost while the log is down: nobody may serve.
 #[tokio::test(flavor = "multi_thread")]
-async fn without_log_and_without_a_peer_that_is_ready_nobody_is_ready() {
+async fn without_the_log_and_without_a_ready_peer_no_instance_is_ready() {
     let platform = TestPlatform::start(10_000).await;
     platform.log_down().await;
     let a = platform.join("a", "x").await;
     let b = platform.join("b", "x").await;
-    until("a link", || a.has_peer(&b) && b.has_peer(&a)).await;
+    wait_until("a link", || a.has_peer(&b) && b.has_peer(&a)).await;
     for node in [&a, &b] {
-        until("the obstacle", || {
+        wait_until("the obstacle", || {
             let obstacle = node.node.obstacle();
             obstacle.is_some_and(|obstacle| obstacle.contains("no peer that is ready"))
         })
         .await;
         let gathered = node.node.clock().now() + TimeSpan::from_secs(3);
-        until("time to gather peers", || {
+        wait_until("time to gather peers", || {
             node.node.clock().now() > gathered
         })
         .await;
         assert!(!node.node.progress().caught_up);
     }
     platform.heal().await;
-    assert!(a.node.wait_caught_up(PATIENCE).await);
+    assert!(a.node.wait_caught_up(WAIT_TIMEOUT).await);
 }
 
 /// The answer to an append is lost and the record is sent again. Whoever goes by
 /// the second copy's offset believes in a fencing number that no reader knows.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_append_that_stands_twice_is_known_by_its_first_copy() {
+async fn a_duplicated_append_reports_the_offset_of_its_first_copy() {
     let platform = TestPlatform::start(10_000).await;
     let node = platform.follow("a");
     node.publish(organisation("one", None, 1)).await;
@@ -182,7 +182,7 @@
 
 /// The log refuses for longer than an append may take: it is told as not done.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_append_that_was_refused_throughout_is_told_as_not_done() {
+async fn an_append_that_was_always_refused_is_reported_as_not_appended() {
     let platform = TestPlatform::start(10_000).await;
     let node = platform.follow("a");
     platform.log_down().await;
@@ -194,7 +194,7 @@
 /// Nothing but withdrawals is appended for long. A checkpoint must be written
 /// again and again, or the one organisation would be forgotten.
 #[tokio::test(flavor = "multi_thread")]
-async fn checkpoints_are_written_before_the_log_forgets() {
+async fn checkpoints_are_written_before_the_log_drops_older_records() {
     let platform = TestPlatform::start(40).await;
     let writer = platform.follow("writer");
     writer.publish(organisation("one", None, 7)).await;
@@ -202,7 +202,7 @@
     let schedule = CheckpointSchedule::new(now, 30, TimeSpan::from_secs(3_600));
     let mut written = 0;
     for _ in 0..40 {
-        fill(&writer, 3).await;
+        append_fillers(&writer, 3).await;
         if is_due(&writer, &schedule).await {
             checkpoint(&writer).await;
             written += 1;
@@ -210,6 +210,6 @@
     }
     assert!(written >= 3, "{written} checkpoints for 120 records");
     let after = platform.follow("after");
-    assert!(after.node.wait_caught_up(PATIENCE).await);
+    assert!(after.node.wait_caught_up(WAIT_TIMEOUT).await);
     assert_eq!(after.weight("one"), Some(7));
 }
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -21,7 +21,7 @@
 
 /// How long a test waits for an event before it fails. No verdict depends on
 /// how much of it passes.
-pub const PATIENCE: TimeSpan = TimeSpan::from_secs(60);
+pub const WAIT_TIMEOUT: TimeSpan = TimeSpan::from_secs(60);
 
 pub struct TestPlatform {
     pub running: RunningPlatform,
@@ -126,7 +126,7 @@
             changes: vec![change],
         });
         let offset = self.node.append(record).await.expect("appended");
-        assert!(self.node.wait_applied(offset, PATIENCE).await);
+        assert!(self.node.wait_applied(offset, WAIT_TIMEOUT).await);
         offset
     }
 
@@ -142,7 +142,7 @@
         })
     }
 
-    pub fn admits(&self, key: &str) -> bool {
+    pub fn accepts_key(&self, key: &str) -> bool {
         let digest = KeyDigest::with_key(key);
         self.node
             .with_view(|view| view.key_organisation(&digest).is_some())
@@ -184,9 +184,9 @@
     }
 }
 
-/// Waits until `holds` does; fails after [`PATIENCE`].
+/// Waits until `holds` does; fails after [`WAIT_TIMEOUT`].
 #[track_caller]
-pub fn until<Holds>(what: &str, holds: Holds) -> impl Future<Output = ()>
+pub fn wait_until<Holds>(what: &str, holds: Holds) -> impl Future<Output = ()>
 where
     Holds: Fn() -> bool,
 {
@@ -198,29 +198,29 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        let waited = tokio::time::timeout(PATIENCE.as_duration(), waiting).await;
+        let waited = tokio::time::timeout(WAIT_TIMEOUT.as_duration(), waiting).await;
         assert!(waited.is_ok(), "{place}: not seen: {what}");
     }
 }
 
 /// A path between two instances that can lose track of the connections it
 /// carries: they stay open and carry nothing, while new ones work.
-pub struct SilentPath {
+pub struct StallingProxy {
     pub address: SocketAddr,
     target: std::sync::Arc<std::sync::Mutex<Option<SocketAddr>>>,
-    era: tokio::sync::watch::Sender<u64>,
+    generation: tokio::sync::watch::Sender<u64>,
 }
 
-impl SilentPath {
-    pub async fn start() -> SilentPath {
+impl StallingProxy {
+    pub async fn start() -> StallingProxy {
         let listener = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await;
         let listener = listener.expect("a free port");
-        let path = SilentPath {
+        let proxy = StallingProxy {
             address: listener.local_addr().expect("bound"),
             target: Default::default(),
-            era: tokio::sync::watch::Sender::new(0),
+            generation: tokio::sync::watch::Sender::new(0),
         };
-        let (target, era) = (path.target.clone(), path.era.clone());
+        let (target, generation) = (proxy.target.clone(), proxy.generation.clone());
         tokio::spawn(async move {
             while let Ok((inner, _)) = listener.accept().await {
                 let target = *target.lock().expect("no holder panics");
@@ -228,29 +228,29 @@
                 let Ok(outer) = tokio::net::TcpStream::connect(target).await else {
                     continue;
                 };
-                tokio::spawn(carry(inner, outer, era.subscribe()));
+                tokio::spawn(forward(inner, outer, generation.subscribe()));
             }
         });
-        path
+        proxy
     }
 
-    pub fn lead_to(&self, target: SocketAddr) {
+    pub fn set_target(&self, target: SocketAddr) {
         *self.target.lock().expect("no holder panics") = Some(target);
     }
 
-    pub fn silence(&self) {
-        self.era.send_modify(|era| *era += 1);
+    pub fn stall_connections(&self) {
+        self.generation.send_modify(|generation| *generation += 1);
     }
 }
 
-async fn carry(
+async fn forward(
     mut inner: tokio::net::TcpStream,
     mut outer: tokio::net::TcpStream,
-    mut era: tokio::sync::watch::Receiver<u64>,
+    mut generation: tokio::sync::watch::Receiver<u64>,
 ) {
     let lost = tokio::select! {
         _ = tokio::io::copy_bidirectional(&mut inner, &mut outer) => false,
-        _ = era.changed() => true,
+        _ = generation.changed() => true,
     };
     if lost {
         // Both ends stay open and hear nothing.
