--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -154,7 +154,7 @@
             "it ran when the endpoint crashed",
         );
         let record = LogRecord::Quarantine(record);
-        self.node.push_note(&record);
+        self.node.broadcast_urgent_record(&record);
         let appended = self.node.append(record);
         let limit = self.settings.requests.claim_patience;
         let _ = tokio::time::timeout(limit.as_duration(), appended).await;
@@ -168,14 +168,14 @@
         let subjects = [fingerprint.as_str(), endpoint.as_str()];
         self.record_decision(&subjects, "cleared the request", "it ran to completion");
         let record = LogRecord::Quarantine(record);
-        self.node.push_note(&record);
+        self.node.broadcast_urgent_record(&record);
         let _ = self.node.append(record).await;
     }
 
     /// Applies crash records that peers send directly, until `token` is cancelled.
     /// They arrive before the log's records, and also while the log is unreachable.
     pub async fn follow_crash_notes(self: Arc<Self>, token: CancellationToken) {
-        let mut notes = self.node.subscribe_notes();
+        let mut notes = self.node.subscribe_urgent_records();
         loop {
             let note = tokio::select! {
                 () = token.cancelled() => return,
