--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every daemon has: checked settings, structured logs, metrics, a state
-//! dump, readiness, and a clean end.
+//! Common parts of all daemons: checked settings, structured logs, metrics, a state
+//! dump, readiness, and graceful shutdown.
 
 pub mod journal;
 pub mod logs;
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -31,32 +31,32 @@
     }
 }
 
-/// One event in the making.
+/// A log line under construction.
 #[derive(Clone, Debug)]
 pub struct LogLine {
     text: String,
 }
 
 impl LogLine {
-    /// An event of this name.
+    /// A line for the event `event`.
     pub fn new(event: &str) -> LogLine {
         LogLine {
             text: format!("event={event}"),
         }
     }
 
-    /// Adds a pair. Values with blanks, quotes or line breaks are quoted, so
-    /// that an event stays one line whatever a caller sent.
+    /// Adds a pair. Values with blanks, quotes or line breaks are quoted, so that an event
+    /// stays on one line also with values that callers send.
     pub fn with<Value>(mut self, key: &str, value: Value) -> LogLine
     where
         Value: Display,
     {
         let value = value.to_string();
-        let plain = !value.is_empty()
+        let is_plain = !value.is_empty()
             && value
                 .chars()
                 .all(|c| !c.is_whitespace() && !c.is_control() && !"\"=".contains(c));
-        let written = if plain {
+        let written = if is_plain {
             write!(self.text, " {key}={value}")
         } else {
             write!(self.text, " {key}={value:?}")
@@ -75,17 +75,17 @@
         log::log!(target: "bluebell", level, "{}", self.text);
     }
 
-    /// Writes the event for operators to read in the ordinary course.
+    /// Writes the event at level info: normal operation.
     pub fn info(self) {
         self.log(Level::Info);
     }
 
-    /// Writes the event as something an operator may have to look at.
+    /// Writes the event at level warn: an operator may have to act on it.
     pub fn warn(self) {
         self.log(Level::Warn);
     }
 
-    /// Writes the event for developers.
+    /// Writes the event at level debug: for developers.
     pub fn debug(self) {
         self.log(Level::Debug);
     }
--- a/crates/daemon/src/ops.rs
+++ b/crates/daemon/src/ops.rs
@@ -1,9 +1,9 @@
 //! The HTTP routes that every daemon answers: `/live`, `/ready`, `/metrics`, `/dump`,
-//! and the way a daemon runs its HTTP server.
+//! and a daemon's HTTP server.
 //!
-//! Rocket reads neither `Rocket.toml` nor `ROCKET_*` here, and takes no signals:
-//! a daemon that gets SIGTERM first finishes its callers' work and only then
-//! tells Rocket to stop, because Rocket's own grace cuts streams.
+//! Rocket reads neither `Rocket.toml` nor `ROCKET_*` here, and handles no signals: on
+//! SIGTERM a daemon first finishes its callers' requests and only then shuts Rocket
+//! down, because Rocket's own grace period cuts streams.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -17,16 +17,16 @@
 };
 use tokio::{sync::oneshot, task::JoinHandle};
 
-/// Whether a daemon takes work, and if not, why.
+/// Whether a daemon accepts work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadyState {
-    /// It does.
+    /// It accepts work.
     Ready,
-    /// It does not.
+    /// It accepts no work, for this reason.
     NotReady(String),
 }
 
-/// What the routes ask the daemon.
+/// The data of the routes' answers.
 #[derive(Clone)]
 pub struct OpsSource {
     registry: Registry,
@@ -35,7 +35,8 @@
 }
 
 impl OpsSource {
-    /// A source that answers with these closures. A dump holds no caller's key.
+    /// A source that calls `ready` and `dump` for each request to their routes. A dump must
+    /// not contain callers' keys.
     pub fn new<Ready, Dump>(registry: Registry, ready: Ready, dump: Dump) -> OpsSource
     where
         Ready: Fn() -> ReadyState + Send + Sync + 'static,
@@ -84,7 +85,7 @@
         .manage(source)
 }
 
-/// A Rocket that listens on `address` and is configured by nothing else.
+/// A Rocket server that listens on `address` and reads no other configuration.
 pub fn server(address: SocketAddr) -> Rocket<Build> {
     let config = rocket::Config {
         address: address.ip(),
@@ -106,13 +107,13 @@
 /// A running HTTP server.
 #[derive(Debug)]
 pub struct RunningServer {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     shutdown: Shutdown,
     task: JoinHandle<()>,
 }
 
-/// Why a server did not start.
+/// A server could not listen on its address.
 #[derive(Debug, thiserror::Error)]
 #[error("failed to listen on `{address}`: {message}")]
 pub struct ListenError {
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Stops the server; whoever calls this has finished the callers' work first.
+    /// Stops the server. The callers' requests must have been finished before.
     pub async fn stop(self) {
         self.shutdown.notify();
         let _ = self.task.await;
--- a/crates/daemon/src/program.rs
+++ b/crates/daemon/src/program.rs
@@ -1,5 +1,5 @@
-//! What the `main` of every daemon does: log first, then settings, then serve
-//! until a signal asks for the end.
+//! The common `main` of all daemons: installs the logger, loads the settings, and
+//! serves until SIGTERM or SIGINT.
 
 use std::{future::Future, process::ExitCode};
 
@@ -9,13 +9,13 @@
 
 use crate::{logs, settings::SettingsError, shutdown};
 
-/// The exit code for settings that can't be used.
+/// The exit code for invalid settings.
 pub const SETTINGS_EXIT: u8 = 2;
 
-/// Loads settings with `load`, serves with `serve` until SIGTERM or SIGINT
-/// cancels the token that it is given, and answers the process's exit code.
+/// Loads settings with `load`, then runs `serve` with a token that SIGTERM and SIGINT
+/// cancel, and returns the exit code of the process.
 ///
-/// The logger comes first: Rocket installs one of its own where there is none.
+/// The logger is installed first: Rocket installs its own where there is none.
 pub fn run<Settings, Load, Serve, Served>(load: Load, serve: Serve) -> ExitCode
 where
     Load: FnOnce() -> Result<Settings, SettingsError>,
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,34 +1,34 @@
-//! Settings: TOML files that are read and checked as a whole before anything starts.
+//! Settings: TOML files that are read and checked completely before a daemon starts.
 
 use std::{fs, path::Path};
 
 use serde::de::DeserializeOwned;
 
-/// Why settings can't be used.
+/// Why settings are rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
     #[error("failed to read settings at `{path}`: {source}")]
     Read {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file is no TOML, or names an unknown field, or lacks one.
+    /// The file is not valid TOML, has an unknown field or lacks a required one.
     #[error("failed to parse settings at `{path}`: {message}")]
     Parse {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What is wrong, with the place in the file.
+        /// The parser's message, with the place in the file.
         message: String,
     },
     /// Values that contradict each other or are out of range.
     #[error("settings at `{path}` can't be used:\n{}", list(.problems))]
     Check {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// All that is wrong.
+        /// All problems found.
         problems: Vec<SettingProblem>,
     },
 }
@@ -40,7 +40,7 @@
         .collect()
 }
 
-/// One value that can't be used.
+/// A value that is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{field}` is `{value}`, expected {expected}")]
 pub struct SettingProblem {
@@ -48,12 +48,12 @@
     pub field: String,
     /// Its value.
     pub value: String,
-    /// What would be accepted.
+    /// A description of the accepted values.
     pub expected: String,
 }
 
 impl SettingProblem {
-    /// The problem that `field` is `value`, where `expected` would be accepted.
+    /// The problem that `field` is `value` where `expected` is required.
     pub fn new<Value>(field: &str, value: Value, expected: &str) -> SettingProblem
     where
         Value: std::fmt::Display,
@@ -66,8 +66,8 @@
     }
 }
 
-/// Reads the settings at `path` and checks them with `check`, which answers all
-/// problems at once.
+/// Reads the settings at `path` and checks them with `check`, which returns all
+/// problems found.
 pub fn load<Settings, Check>(path: &Path, check: Check) -> Result<Settings, SettingsError>
 where
     Settings: DeserializeOwned,
@@ -81,7 +81,7 @@
     parse(&name, &text, check)
 }
 
-/// Parses and checks the text of a settings file called `path`.
+/// Parses and checks the text of the settings file at `path`.
 pub fn parse<Settings, Check>(
     path: &str,
     text: &str,
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! A clean end: SIGTERM and SIGINT cancel a token that everything is given.
+//! Graceful shutdown: SIGTERM and SIGINT cancel a token that all tasks share.
 
 use tokio::signal::unix::{SignalKind, signal};
 use tokio_util::sync::CancellationToken;
--- a/crates/daemon/tests/logs.rs
+++ b/crates/daemon/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Events stay one line of key=value pairs.
+//! Each event is written as one line of key=value pairs.
 
 use bluebell_daemon::logs::LogLine;
 
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files with mistakes, as operators meet them.
+//! Error messages for invalid settings files.
 
 use bluebell_daemon::settings::{SettingProblem, parse};
 use serde::Deserialize;
--- a/crates/endpoint/src/api.rs
+++ b/crates/endpoint/src/api.rs
@@ -1,4 +1,4 @@
-//! What travels between our processes and endpoints.
+//! Messages between the processes of this system and endpoints.
 //!
 //! Engines:
 //!
@@ -6,15 +6,15 @@
 //! |---|---|
 //! | `POST /generate` [`GenerateRequest`] | lines of JSON, one [`StreamItem`] each; 409 if the engine does not serve the model or role, 503 if it drains |
 //! | `POST /cancel` [`CancelRequest`] | 204, also for unknown requests |
-//! | `GET /load` | [`LoadReport`], lagging |
+//! | `GET /load` | [`LoadReport`], possibly out of date |
 //! | `GET /cache-events?from=N` | `Vec<`[`CacheEvent`]`>`, late and with gaps |
 //! | `POST /orders` [`EngineOrder`] | [`OrderAnswer`], 409 if its fencing number is old and the engine checks it |
 //! | `GET /state` | [`EngineStatus`], current |
 //! | `POST /kv/export` [`KvExport`] | [`KvHandle`] |
 //!
-//! Plain services take any method and path. They see `X-Request-Id` and, where
-//! the caller sent one, `Idempotency-Key`; never the caller's key. All
-//! endpoints answer `GET /health` with 204.
+//! Plain services accept any method and path. They receive `X-Request-Id` and, where
+//! the caller sent one, `Idempotency-Key`; never the caller's key. All endpoints answer
+//! `GET /health` with 204.
 
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
@@ -25,10 +25,10 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Work for an engine.
+/// A request to an engine to generate output.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GenerateRequest {
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
     /// The number of the attempt, from 1.
     pub attempt: u32,
@@ -36,17 +36,17 @@
     pub model: ModelName,
     /// The prompt.
     pub prompt: String,
-    /// Output that the caller already has, which the engine continues.
+    /// Output that the caller has already received; the engine continues after it.
     #[serde(default)]
     pub delivered: Vec<String>,
-    /// The most output tokens of the whole answer.
+    /// The maximum number of output tokens of the complete answer.
     pub max_tokens: TokenCount,
-    /// Whether somebody waits.
+    /// Whether the request is interactive or deferrable.
     pub priority: WorkPriority,
-    /// Stop after the prompt and keep its KV cache for export.
+    /// Stops after the prefill of the prompt and keeps its KV cache for export.
     #[serde(default)]
     pub prefill_only: bool,
-    /// KV cache to start from instead of the prompt.
+    /// The KV cache to import instead of a prefill of the prompt.
     #[serde(default)]
     pub import: Option<KvHandle>,
 }
@@ -61,76 +61,76 @@
         request: RequestId,
         /// The attempt that it belongs to.
         attempt: u32,
-        /// Its place in the answer, from 0, counting delivered output.
+        /// Its position in the answer, from 0, delivered output included.
         position: u64,
         /// Its text.
         text: String,
     },
-    /// The end mark. An answer without it is not whole.
+    /// The last item. An answer without it is incomplete.
     End {
         /// The request that it belongs to.
         request: RequestId,
         /// The attempt that it belongs to.
         attempt: u32,
-        /// How many tokens the whole answer has, delivered output included.
+        /// The number of tokens in the complete answer, delivered output included.
         length: u64,
-        /// Why it ended.
+        /// The reason for the end.
         finish: FinishReason,
-        /// Tokens of the prompt.
+        /// The number of prompt tokens.
         prompt_tokens: TokenCount,
-        /// Tokens of the prompt that the prefix cache held.
+        /// The number of prompt tokens found in the prefix cache.
         cached_tokens: TokenCount,
     },
 }
 
-/// Why an answer ended.
+/// The reason for the end of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// The model was done.
+    /// The model ended the answer.
     Stop,
-    /// The limit on tokens was reached.
+    /// The token limit was reached.
     Length,
-    /// The prompt was prefilled, as asked.
+    /// The prompt was prefilled; the request was for the prefill only.
     Prefilled,
-    /// It was cancelled.
+    /// The request was cancelled.
     Cancelled,
 }
 
-/// The end of a request that nobody waits for.
+/// Cancels a request whose answer is no longer needed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelRequest {
     /// The request.
     pub request: RequestId,
 }
 
-/// An engine's load as it was some time ago.
+/// An engine's load at an earlier time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// When it was so, on the engine's clock.
+    /// The time of the measurement, on the engine's clock.
     pub measured_at: ClockTime,
-    /// Its age when it was sent.
+    /// The age of the measurement when the report was sent.
     pub age: TimeSpan,
-    /// Requests waiting.
+    /// The number of waiting requests.
     pub waiting: u64,
-    /// Requests in the batch.
+    /// The number of requests in the batch.
     pub running: u64,
-    /// Prompt tokens not yet prefilled.
+    /// The number of prompt tokens not yet prefilled.
     pub prefill_backlog: TokenCount,
-    /// KV memory in use.
+    /// The KV memory in use, in tokens.
     pub kv_used: TokenCount,
-    /// KV memory in all.
+    /// The total KV memory, in tokens.
     pub kv_capacity: TokenCount,
 }
 
 /// A change of an engine's prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Its number; a gap tells that events were lost.
+    /// The sequence number; a gap means that events were lost.
     pub sequence: u64,
     /// The digest of the prefix.
     pub prefix: String,
-    /// Whether it was stored or evicted.
+    /// Whether the prefix was stored or evicted.
     pub stored: bool,
 }
 
@@ -141,52 +141,52 @@
     pub order: OrderId,
     /// The sender's fencing number.
     pub fence: LogOffset,
-    /// What is ordered: `SetRole` or `LoadModel`.
+    /// The ordered change: `SetRole` or `LoadModel`.
     pub body: OrderBody,
 }
 
 /// An engine's answer to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderAnswer {
-    /// The order.
+    /// The order's id.
     pub order: OrderId,
-    /// How long the change will take.
+    /// The time that the change will take.
     pub takes: TimeSpan,
 }
 
-/// What an engine is doing now.
+/// The current state of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineStatus {
-    /// A number that changes when the engine is started again.
+    /// A number that changes with each start of the engine.
     pub incarnation: u64,
-    /// Its role.
+    /// The engine's role.
     pub role: EngineRole,
-    /// Its model.
+    /// The loaded model.
     pub model: ModelName,
-    /// Whether a change of role or model is under way.
+    /// Whether a change of role or model is in progress.
     pub changing: bool,
-    /// Requests waiting or running.
+    /// The number of waiting and running requests.
     pub in_flight: u64,
-    /// The greatest fencing number seen.
+    /// The greatest fencing number received.
     pub fence: LogOffset,
     /// The last order that took effect.
     pub last_order: Option<OrderId>,
 }
 
-/// Asks for the KV cache of a prefilled request.
+/// Requests the export of a prefilled request's KV cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvExport {
     /// The request.
     pub request: RequestId,
 }
 
-/// Where KV cache can be had.
+/// The location of an exported KV cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvHandle {
-    /// The engine that holds it, as `ip:port`.
+    /// The address of the engine that holds it, as `ip:port`.
     pub address: String,
-    /// The request that it was made for.
+    /// The request that it was computed for.
     pub request: RequestId,
-    /// How large it is.
+    /// Its size.
     pub size: ByteSize,
 }
--- a/crates/endpoint/src/client.rs
+++ b/crates/endpoint/src/client.rs
@@ -1,16 +1,16 @@
-//! A client of one endpoint that never repeats a call by itself.
+//! A client of one endpoint that never retries a call by itself.
 //!
-//! Libraries repeat calls where one does not look for it. reqwest repeats some
-//! that the protocol says were not processed, unless told `retry::never()`.
-//! hyper's pool repeats a request that met a *reused* connection as it was
-//! being closed; it does so only if none of the request was written, but that
-//! rests on hyper's own book-keeping. A charge that was repeated so would be
-//! seen first by the customer. Work that must run at most once is therefore
-//! sent on a connection of its own, where there is nothing to fall back from.
+//! HTTP libraries retry some calls implicitly. reqwest retries those that were not
+//! processed according to the protocol, unless configured with `retry::never()`.
+//! hyper's pool retries a request on a *reused* connection that was being closed; it
+//! does so only if no byte of the request was written, but that relies on hyper's
+//! internal state. A charge that ran twice for this reason would first be noticed by
+//! the customer. Work that must run at most once is therefore sent on a new
+//! connection, for which no library retries.
 //!
-//! Connections can also go silent for good while new ones work. Pooled ones to
-//! an endpoint are thrown away by [`EndpointClient::discard_connections`], and
-//! probes always open a new one.
+//! A connection can also stop delivering permanently while new ones work. Pooled
+//! connections to an endpoint are discarded by [`EndpointClient::discard_connections`],
+//! and probes always open a new one.
 
 use std::{
     sync::{Arc, Mutex},
@@ -34,55 +34,56 @@
     CancelRequest, EngineStatus, GenerateRequest, KvExport, KvHandle, LoadReport, StreamItem,
 };
 
-/// How long opening a connection may take.
+/// The time limit for opening a connection.
 const CONNECT_TIMEOUT: TimeSpan = TimeSpan::from_millis(500);
 
-/// How long a short call (probe, cancel, state) may take.
+/// The time limit of a short call (probe, cancel, state).
 const SHORT_CALL_TIMEOUT: TimeSpan = TimeSpan::from_millis(1_000);
 
-/// The longest line of an engine's answer, in bytes.
+/// The maximum length of a line in an engine's answer, in bytes.
 const MAX_LINE_BYTES: usize = 256 * 1024;
 
-/// Why an endpoint's answer can't be had.
+/// Why a call to an endpoint failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointError {
-    /// No connection came about: no byte left.
+    /// The connection could not be opened: nothing was sent.
     #[error("failed to connect to the endpoint: {0}")]
     NotSent(String),
-    /// An engine refused, which its interface documents as not run.
+    /// The engine refused with a status that its interface documents as not run.
     #[error("the endpoint refused with status {status}: {message}")]
     Refused {
         /// The HTTP status.
         status: u16,
-        /// What it says.
+        /// The body of the answer.
         message: String,
     },
-    /// The connection or the answer was lost or unreadable; the work may have run.
+    /// The connection broke, or the answer was lost or invalid; the work may have run.
     #[error("the endpoint's answer was lost: {0}")]
     Lost(String),
 }
 
-/// What a probe on a new connection found.
+/// The result of a probe on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
     /// The endpoint answers.
     Healthy,
-    /// Nothing listens there: the process has ended.
+    /// The address refuses connections: the process has ended.
     ConnectionRefused,
-    /// No answer: it may be frozen, overloaded or cut off.
+    /// No answer: the endpoint may be frozen, overloaded or partitioned.
     Unreachable,
 }
 
-/// A call of a plain service, built from what may be passed on and nothing else.
+/// A call to a plain service, with only those parts of the caller's request that may be
+/// forwarded.
 #[derive(Clone, Debug)]
 pub struct PlainCall {
     /// The HTTP method.
     pub method: String,
     /// The path below the service with its query, starting with a slash.
     pub path: String,
-    /// The content type that the caller named.
+    /// The content type of the caller's request.
     pub content_type: Option<String>,
-    /// The caller's mark of repeats.
+    /// The caller's idempotency key.
     pub idempotency_key: Option<IdempotencyKey>,
     /// The body.
     pub body: Bytes,
@@ -93,21 +94,21 @@
 pub struct PlainAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// Its content type.
+    /// The content type of the answer.
     pub content_type: Option<String>,
-    /// Its body, whole.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// The items of an engine's answer, as they come.
+/// The items of an engine's answer, in the order of arrival.
 pub type ItemStream = futures::stream::BoxStream<'static, Result<StreamItem, EndpointError>>;
 
-/// A client of one endpoint; clones share its connections.
+/// A client of one endpoint; clones share its pooled connections.
 #[derive(Clone, Debug)]
 pub struct EndpointClient {
     base: String,
     pooled: Arc<Mutex<reqwest::Client>>,
-    fresh: reqwest::Client,
+    unpooled: reqwest::Client,
 }
 
 fn client_builder() -> reqwest::ClientBuilder {
@@ -125,7 +126,7 @@
         .expect("the client's settings are constant")
 }
 
-fn fresh_client() -> reqwest::Client {
+fn unpooled_client() -> reqwest::Client {
     client_builder()
         .pool_max_idle_per_host(0)
         .build()
@@ -138,11 +139,11 @@
         EndpointClient {
             base: format!("http://{address}"),
             pooled: Arc::new(Mutex::new(pooled_client())),
-            fresh: fresh_client(),
+            unpooled: unpooled_client(),
         }
     }
 
-    /// Gives up all pooled connections; calls under way keep theirs.
+    /// Discards all pooled connections; calls in progress keep theirs.
     pub fn discard_connections(&self) {
         *self.pooled.lock().expect("no holder panics") = pooled_client();
     }
@@ -151,7 +152,7 @@
         self.pooled.lock().expect("no holder panics").clone()
     }
 
-    /// Sends work to an engine; answers its items from the first on.
+    /// Sends a request to an engine and returns the stream of its items.
     pub async fn generate(
         &self,
         _permit: &SendPermit,
@@ -162,7 +163,7 @@
             .json(work)
             .send()
             .await
-            .map_err(|error| from_send(&error))?;
+            .map_err(|error| endpoint_error(&error))?;
         let status = response.status();
         if status.is_success() {
             return Ok(items(response).boxed());
@@ -177,8 +178,8 @@
         }
     }
 
-    /// Calls a plain service and reads its answer to the end, at most `limit` long.
-    /// Work that must run at most once goes on a connection of its own.
+    /// Calls a plain service and reads its complete answer, of at most `limit` bytes. Work
+    /// that must run at most once is sent on a new connection.
     pub async fn call(
         &self,
         permit: &SendPermit,
@@ -187,35 +188,44 @@
     ) -> Result<PlainAnswer, EndpointError> {
         let client = match permit.kind() {
             WorkKind::Repeatable => self.pooled(),
-            WorkKind::AtMostOnce => self.fresh.clone(),
+            WorkKind::AtMostOnce => self.unpooled.clone(),
         };
         let request = plain_request(&client, &self.base, permit.request(), call)?;
-        let response = request.send().await.map_err(|error| from_send(&error))?;
+        let response = request
+            .send()
+            .await
+            .map_err(|error| endpoint_error(&error))?;
         read_plain(response, limit).await
     }
 
-    /// Tells the engine that nobody waits for `request` any more.
+    /// Cancels `request`, whose answer is no longer needed, at the engine.
     pub async fn cancel(&self, request: &RequestId) -> Result<(), EndpointError> {
         let body = CancelRequest {
             request: request.clone(),
         };
-        let call = self.fresh.post(format!("{}/cancel", self.base)).json(&body);
-        short(call).await.map(drop)
+        let call = self
+            .unpooled
+            .post(format!("{}/cancel", self.base))
+            .json(&body);
+        short_call(call).await.map(drop)
     }
 
-    /// Asks an engine for the KV cache of a prompt that it has prefilled.
+    /// Requests the KV cache of a prompt that the engine has prefilled.
     pub async fn export(&self, request: &RequestId) -> Result<KvHandle, EndpointError> {
         let body = KvExport {
             request: request.clone(),
         };
         let call = self.pooled().post(format!("{}/kv/export", self.base));
-        let response = short(call.json(&body)).await?;
-        response.json().await.map_err(|error| from_send(&error))
+        let response = short_call(call.json(&body)).await?;
+        response
+            .json()
+            .await
+            .map_err(|error| endpoint_error(&error))
     }
 
-    /// Asks on a new connection whether the endpoint answers.
+    /// Checks on a new connection whether the endpoint answers.
     pub async fn probe(&self) -> ProbeResult {
-        let call = self.fresh.get(format!("{}/health", self.base));
+        let call = self.unpooled.get(format!("{}/health", self.base));
         match call.timeout(SHORT_CALL_TIMEOUT.as_duration()).send().await {
             Ok(response) if response.status().is_success() => ProbeResult::Healthy,
             Ok(_) => ProbeResult::Unreachable,
@@ -224,22 +234,28 @@
         }
     }
 
-    /// An engine's state, asked on a new connection.
+    /// An engine's current state, requested on a new connection.
     pub async fn state(&self) -> Result<EngineStatus, EndpointError> {
-        let call = self.fresh.get(format!("{}/state", self.base));
-        let response = short(call).await?;
-        response.json().await.map_err(|error| from_send(&error))
+        let call = self.unpooled.get(format!("{}/state", self.base));
+        let response = short_call(call).await?;
+        response
+            .json()
+            .await
+            .map_err(|error| endpoint_error(&error))
     }
 
-    /// An engine's lagging load.
+    /// An engine's load, which may be out of date.
     pub async fn load(&self) -> Result<LoadReport, EndpointError> {
         let call = self.pooled().get(format!("{}/load", self.base));
-        let response = short(call).await?;
-        response.json().await.map_err(|error| from_send(&error))
+        let response = short_call(call).await?;
+        response
+            .json()
+            .await
+            .map_err(|error| endpoint_error(&error))
     }
 }
 
-fn from_send(error: &reqwest::Error) -> EndpointError {
+fn endpoint_error(error: &reqwest::Error) -> EndpointError {
     let message = error_text(error);
     if error.is_connect() {
         return EndpointError::NotSent(message);
@@ -260,9 +276,9 @@
         .any(|error| error.kind() == std::io::ErrorKind::ConnectionRefused)
 }
 
-async fn short(call: RequestBuilder) -> Result<Response, EndpointError> {
+async fn short_call(call: RequestBuilder) -> Result<Response, EndpointError> {
     let call = call.timeout(SHORT_CALL_TIMEOUT.as_duration());
-    let response = call.send().await.map_err(|error| from_send(&error))?;
+    let response = call.send().await.map_err(|error| endpoint_error(&error))?;
     let status = response.status();
     if status.is_success() {
         return Ok(response);
--- a/crates/endpoint/src/lib.rs
+++ b/crates/endpoint/src/lib.rs
@@ -1,4 +1,4 @@
-//! The interfaces of endpoints: model engines and plain services.
+//! The interfaces of endpoints (model engines and plain services) and clients for them.
 
 pub mod api;
 pub mod client;
--- a/crates/endpoint/src/orders.rs
+++ b/crates/endpoint/src/orders.rs
@@ -1,7 +1,7 @@
-//! A client for an engine's orders and status, for whoever is in charge of it.
+//! A client for orders to engines and for their status.
 //!
-//! It keeps no connection open between calls: an engine is asked seldom, and a
-//! pooled connection that has gone silent would make an order's fate unknown.
+//! It keeps no connection open between calls: calls to an engine are rare, and on a
+//! pooled connection that no longer delivers the outcome of an order would be unknown.
 
 use std::time::Duration;
 
@@ -10,27 +10,27 @@
 
 use crate::api::{EngineOrder, EngineStatus, OrderAnswer};
 
-/// Why an engine gave no usable answer.
+/// Why a call to an engine failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EngineOrderError {
     /// The connection could not be opened: nothing was sent.
     #[error("failed to connect to the engine: {0}")]
     NotSent(String),
-    /// The call was sent, and what became of it is unknown.
+    /// The call was sent; whether it took effect is unknown.
     #[error("the engine's answer was lost: {0}")]
     Unknown(String),
-    /// The engine has seen a later fencing number; the order has no effect.
-    #[error("the engine refuses the fencing number: {0}")]
+    /// The engine has received a later fencing number; the order has no effect.
+    #[error("the engine rejected the fencing number as outdated: {0}")]
     Stale(String),
-    /// The engine can't take an order now; the order has no effect.
-    #[error("the engine is busy")]
+    /// The engine can't accept an order at the moment; the order has no effect.
+    #[error("the engine is busy and accepts no order at the moment")]
     Busy,
-    /// The engine refuses; the order has no effect.
-    #[error("the engine refuses with status {status}: {message}")]
+    /// The engine rejected the call; an order has no effect.
+    #[error("the engine rejected the call with status {status}: {message}")]
     Refused {
         /// The HTTP status.
         status: u16,
-        /// What it says.
+        /// The body of the answer.
         message: String,
     },
 }
@@ -43,7 +43,7 @@
 }
 
 impl EngineOrderClient {
-    /// A client that names itself `sender` and gives up after `timeout`.
+    /// A client with `sender` as its `User-Agent`; its calls time out after `timeout`.
     pub fn new(sender: &str, timeout: TimeSpan) -> EngineOrderClient {
         let http = reqwest::Client::builder()
             .user_agent(sender)
@@ -65,7 +65,7 @@
         self.call(request.json(order)).await
     }
 
-    /// Asks the engine at `address` what it is doing now.
+    /// Requests the current state of the engine at `address`.
     pub async fn status(&self, address: &str) -> Result<EngineStatus, EngineOrderError> {
         self.call(self.http.get(format!("http://{address}/state")))
             .await
--- a/crates/endpoint/src/reference.rs
+++ b/crates/endpoint/src/reference.rs
@@ -1,22 +1,22 @@
-//! What the stand-in's model answers, as a function of the prompt alone.
+//! The answers of the stand-in engine's model, which depend on the prompt only.
 //!
-//! Every token is a digest of the prompt and the token's position, so a checker
-//! that knows the prompt can tell an answer that was crossed with another one,
-//! doubled, cut short or put together wrongly after a resume.
+//! Every token is a digest of the prompt and the token's position, so a checker with
+//! the prompt detects answers that were mixed up, duplicated, truncated or continued
+//! wrongly after a resume.
 
 use bluebell_core::units::TokenCount;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// What a prompt contains to ask for an answer of a certain length, as `len=40`.
+/// The prefix of the answer length that a prompt requests, as in `len=40`.
 pub const LENGTH_MARKER: &str = "len=";
 
-/// The shortest answer to a prompt without a length mark.
-const LEAST_LENGTH: u64 = 16;
+/// The length of the shortest answer to a prompt without a length marker, in tokens.
+const MIN_LENGTH: u64 = 16;
 
-/// How many different lengths prompts without a length mark have.
-const LENGTH_SPREAD: u64 = 48;
+/// The number of different answer lengths for prompts without a length marker.
+const LENGTH_COUNT: u64 = 48;
 
-/// Bytes of a prompt that make a token.
+/// The number of prompt bytes per token.
 const BYTES_PER_TOKEN: u64 = 4;
 
 /// The answer to one prompt.
@@ -27,7 +27,7 @@
 }
 
 impl ReferenceAnswer {
-    /// The answer to `prompt`, of at most `max_tokens`.
+    /// The answer to `prompt`, limited to `max_tokens`.
     pub fn new(prompt: &str, max_tokens: TokenCount) -> ReferenceAnswer {
         ReferenceAnswer {
             seed: xxh3_64(prompt.as_bytes()),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// How many tokens it has.
+    /// The number of its tokens.
     pub fn length(&self) -> u64 {
         self.length
     }
@@ -46,7 +46,7 @@
         format!("{:06x} ", digest & 0xff_ffff)
     }
 
-    /// The whole text.
+    /// The complete text.
     pub fn text(&self) -> String {
         (0..self.length)
             .map(|position| self.token(position))
@@ -59,11 +59,10 @@
     ReferenceAnswer::new(prompt, TokenCount::new(u64::MAX)).token(position)
 }
 
-/// How many tokens the answer to `prompt` has if no limit cuts it: what the
-/// last length mark says, or a number derived from the prompt.
+/// The number of tokens in the answer to `prompt` without a limit: the number after the
+/// last length marker, or one derived from the prompt.
 pub fn natural_length(prompt: &str) -> u64 {
-    marked_length(prompt)
-        .unwrap_or_else(|| LEAST_LENGTH + xxh3_64(prompt.as_bytes()) % LENGTH_SPREAD)
+    marked_length(prompt).unwrap_or_else(|| MIN_LENGTH + xxh3_64(prompt.as_bytes()) % LENGTH_COUNT)
 }
 
 fn marked_length(prompt: &str) -> Option<u64> {
@@ -72,13 +71,13 @@
     rest[..end.unwrap_or(rest.len())].parse().ok()
 }
 
-/// How many tokens a prompt has.
+/// The number of tokens in a prompt.
 pub fn prompt_tokens(prompt: &str) -> TokenCount {
     TokenCount::new((prompt.len() as u64).div_ceil(BYTES_PER_TOKEN).max(1))
 }
 
-/// The digests of a prompt's prefixes, one for each whole block of
-/// `block_tokens` tokens.
+/// The digests of a prompt's prefixes, one for each complete block of `block_tokens`
+/// tokens.
 pub fn prefix_digests(prompt: &str, block_tokens: u64) -> Vec<u64> {
     let block_bytes = (block_tokens.max(1) * BYTES_PER_TOKEN) as usize;
     let blocks = prompt.as_bytes().chunks_exact(block_bytes);
--- a/crates/platform/src/api.rs
+++ b/crates/platform/src/api.rs
@@ -1,20 +1,20 @@
-//! What travels between our processes and the platform, as JSON over HTTP.
+//! Messages between the processes of this system and the platform, as JSON over HTTP.
 //!
 //! | call | answer |
 //! |---|---|
 //! | `POST /log/append` [`AppendRequest`] | [`AppendAnswer`], 429 or 503 |
 //! | `GET /log/read?from=N&limit=M&wait_ms=W` | [`ReadAnswer`] |
 //! | `PUT /instances` [`InstanceListing`] | 204; repeated every few seconds |
-//! | `GET /instances` | `Vec<`[`InstanceListing`]`>`, lagging |
+//! | `GET /instances` | `Vec<`[`InstanceListing`]`>`, possibly out of date |
 //! | `GET /endpoints` | `Vec<`[`EndpointListing`]`>` |
-//! | `POST /endpoints/start` [`StartEndpoint`] | [`EndpointListing`], 409 stale, 503 none to be had |
-//! | `POST /endpoints/stop` [`StopEndpoint`] | 204, 409 stale |
+//! | `POST /endpoints/start` [`StartEndpoint`] | [`EndpointListing`], 409 old fencing number, 503 no capacity |
+//! | `POST /endpoints/stop` [`StopEndpoint`] | 204, 409 old fencing number |
 //! | `POST /weights/fetch` [`WeightFetch`] | 204 once fetched, or 429 |
-//! | `POST /usage/reports` [`UsageReport`] | 204, 409 stale or differing |
+//! | `POST /usage/reports` [`UsageReport`] | 204, 409 old fencing number or differing report |
 //! | `GET /usage/reports` | `Vec<`[`UsageReport`]`>` in the order of arrival |
 //!
-//! Every call says in its `User-Agent` which instance of which failure domain
-//! sends it, as `bluebell/<instance>@<failure domain>`.
+//! The `User-Agent` of every call names the sending instance and its failure domain,
+//! as `bluebell/<instance>@<failure domain>`.
 
 use bluebell_core::{
     clock::TimeSpan,
@@ -28,48 +28,48 @@
 /// One record to append.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendRequest {
-    /// Who appends.
+    /// The writer that appends it.
     pub writer: WriterId,
-    /// The writer's own number for the record.
+    /// The writer's sequence number of the record.
     pub sequence: u64,
-    /// The record, as text that the platform does not look into.
+    /// The record, as text that the platform does not parse.
     pub payload: String,
 }
 
-/// Where an appended record stands.
+/// The answer to an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendAnswer {
-    /// Its offset.
+    /// The offset of the appended record.
     pub offset: LogOffset,
 }
 
-/// One entry as the platform keeps it.
+/// One entry of the log, with its record undecoded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RawEntry {
-    /// Where it stands.
+    /// Its offset.
     pub offset: LogOffset,
-    /// Who appended it.
+    /// The writer that appended it.
     pub writer: WriterId,
-    /// The writer's own number for it.
+    /// The writer's sequence number of the record.
     pub sequence: u64,
     /// The record.
     pub payload: String,
 }
 
-/// A stretch of the log.
+/// A range of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadAnswer {
-    /// The oldest offset that the platform still keeps.
+    /// The first offset that the platform still keeps.
     pub first_kept: LogOffset,
-    /// The offset that the next append will get.
+    /// The offset of the next append.
     pub end: LogOffset,
-    /// The entries, from the later of the asked and the oldest kept offset.
+    /// The entries, from the later of the requested and the first kept offset on.
     pub entries: Vec<RawEntry>,
 }
 
 pub use bluebell_core::membership::{InstanceListing, InstanceProgram, InstanceState};
 
-/// What an endpoint is.
+/// The kind of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointKind {
@@ -79,17 +79,17 @@
     Plain,
 }
 
-/// Where an endpoint stands in its life.
+/// The lifecycle state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum EndpointState {
-    /// Ordered, not yet serving.
+    /// Ordered, but not serving yet.
     Starting,
     /// Serving.
     Ready,
-    /// The platform takes it back.
+    /// The platform has given notice that it reclaims the capacity.
     Reclaimed {
-        /// What is left of the notice.
+        /// The time left of the notice.
         remaining: TimeSpan,
     },
     /// Stopped or lost.
@@ -99,70 +99,70 @@
 /// One endpoint on the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointListing {
-    /// Which.
+    /// The endpoint's id.
     pub endpoint: EndpointId,
-    /// Where.
+    /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// What it is.
+    /// Its kind.
     pub kind: EndpointKind,
-    /// On what capacity it runs.
+    /// The kind of capacity that it runs on.
     pub capacity: CapacityKind,
-    /// The service that it stands behind.
+    /// The service that it belongs to.
     pub service: ServiceName,
-    /// The model that it has loaded, for engines.
+    /// For an engine, the loaded model.
     pub model: Option<ModelName>,
-    /// Where it answers HTTP, as `ip:port`.
+    /// Its HTTP address, as `ip:port`.
     pub address: String,
-    /// Where it stands in its life.
+    /// Its lifecycle state.
     pub state: EndpointState,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with an old fencing number.
     pub checks_fencing: bool,
 }
 
-/// The order to start an endpoint. A repeat with the same id has no further effect.
+/// An order to start an endpoint. A repeat with the same id has no further effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartEndpoint {
     /// The order's id.
     pub order: OrderId,
     /// The sender's fencing number.
     pub fence: LogOffset,
-    /// Where.
+    /// The failure domain to start it in.
     pub failure_domain: FailureDomain,
-    /// On what.
+    /// The kind of capacity to use.
     pub capacity: CapacityKind,
-    /// For which service.
+    /// The service that it will belong to.
     pub service: ServiceName,
 }
 
-/// The order to stop an endpoint.
+/// An order to stop an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StopEndpoint {
     /// The order's id.
     pub order: OrderId,
     /// The sender's fencing number.
     pub fence: LogOffset,
-    /// Which.
+    /// The endpoint to stop.
     pub endpoint: EndpointId,
 }
 
-/// A fetch of a model's weights for an endpoint.
+/// A request to fetch a model's weights for an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightFetch {
-    /// For which endpoint.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// Which model.
+    /// The model.
     pub model: ModelName,
 }
 
-/// The figures of one window.
+/// The usage of one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
     /// The window.
     pub window: UsageWindow,
     /// The sender's fencing number.
     pub fence: LogOffset,
-    /// Who sends it.
+    /// The instance that sends the report.
     pub reporter: InstanceId,
-    /// The figures.
+    /// The usage, line by line.
     pub lines: Vec<UsageLine>,
 }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the platform that never repeats a call by itself.
+//! A client of the platform that never retries a call by itself.
 
 use std::time::Duration;
 
@@ -16,33 +16,33 @@
     StopEndpoint, UsageReport, WeightFetch,
 };
 
-/// How long an answer may take to begin, and may pause while it comes, before the call
-/// counts as lost.
+/// The time limit for the head of an answer and for each chunk of its body; a call that
+/// exceeds it counts as lost.
 pub const CALL_TIMEOUT: TimeSpan = TimeSpan::from_millis(2_000);
 
-/// Why a call to the platform brought no answer.
+/// Why a call to the platform failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformError {
     /// The connection could not be opened: nothing was sent.
     #[error("failed to connect to the platform: {0}")]
     NotSent(String),
-    /// The call was sent, and what became of it is unknown.
+    /// The call was sent; whether it took effect is unknown.
     #[error("the platform's answer was lost: {0}")]
     Unknown(String),
-    /// The platform refuses for now; the call had no effect.
-    #[error("the platform refuses for now with status {status}")]
+    /// The platform is temporarily unavailable; the call had no effect.
+    #[error("the platform is temporarily unavailable: status {status}")]
     Unavailable {
         /// The HTTP status.
         status: u16,
-        /// When to come back.
+        /// How long to wait before a retry.
         retry_after: TimeSpan,
     },
-    /// The platform refuses; the call had no effect.
-    #[error("the platform refuses with status {status}: {message}")]
+    /// The platform rejected the call, which had no effect.
+    #[error("the platform rejected the call with status {status}: {message}")]
     Refused {
         /// The HTTP status.
         status: u16,
-        /// What it says.
+        /// The body of the answer.
         message: String,
     },
 }
@@ -55,8 +55,8 @@
 }
 
 impl PlatformClient {
-    /// A client for the platform at `address` (`ip:port`), which names
-    /// `instance` of `failure_domain` as the sender.
+    /// A client for the platform at `address` (`ip:port`) that names `instance` of
+    /// `failure_domain` as the sender.
     pub fn new(
         address: &str,
         instance: &InstanceId,
@@ -91,7 +91,7 @@
         call(self.post("/log/append", request)).await
     }
 
-    /// Reads at most `limit` entries from `from` on, waiting up to `wait` for the first.
+    /// Reads at most `limit` entries from `from` on; waits up to `wait` for the first one.
     pub async fn read(
         &self,
         from: LogOffset,
@@ -105,14 +105,14 @@
         decode(&send(self.get(&path), CALL_TIMEOUT + wait).await?)
     }
 
-    /// Puts this process on the platform's list.
+    /// Registers this process in the platform's list of instances.
     pub async fn announce(&self, listing: &InstanceListing) -> Result<(), PlatformError> {
         let request = self.http.put(format!("{}/instances", self.base));
         let request = request.json(listing);
         send(request, CALL_TIMEOUT).await.map(drop)
     }
 
-    /// The platform's lagging list of our processes.
+    /// The platform's list of this system's processes, which may be out of date.
     pub async fn instances(&self) -> Result<Vec<InstanceListing>, PlatformError> {
         call(self.get("/instances")).await
     }
@@ -122,7 +122,7 @@
         call(self.get("/endpoints")).await
     }
 
-    /// Orders an endpoint.
+    /// Orders the start of an endpoint.
     pub async fn start_endpoint(
         &self,
         order: &StartEndpoint,
@@ -130,7 +130,7 @@
         call(self.post("/endpoints/start", order)).await
     }
 
-    /// Orders the end of an endpoint.
+    /// Orders the stop of an endpoint.
     pub async fn stop_endpoint(&self, order: &StopEndpoint) -> Result<(), PlatformError> {
         let request = self.post("/endpoints/stop", order);
         send(request, CALL_TIMEOUT).await.map(drop)
@@ -142,7 +142,7 @@
         send(request, CALL_TIMEOUT).await.map(drop)
     }
 
-    /// The usage reports that the platform has taken.
+    /// The usage reports that the platform has accepted.
     pub async fn usage_reports(&self) -> Result<Vec<UsageReport>, PlatformError> {
         call(self.get("/usage/reports")).await
     }
@@ -161,8 +161,8 @@
     decode(&send(request, CALL_TIMEOUT).await?)
 }
 
-async fn send(request: RequestBuilder, patience: TimeSpan) -> Result<Bytes, PlatformError> {
-    let fetched = bluebell_transfer::fetch(request, patience).await;
+async fn send(request: RequestBuilder, timeout: TimeSpan) -> Result<Bytes, PlatformError> {
+    let fetched = bluebell_transfer::fetch(request, timeout).await;
     let answer = fetched.map_err(|error| match error {
         TransferError::NotSent(reason) => PlatformError::NotSent(reason),
         error => PlatformError::Unknown(error.to_string()),
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,8 @@
-//! The platform's interfaces: their types, and a client for them.
+//! The platform's interfaces: their message types, and a client for them.
 //!
-//! The platform runs the log, the list of instances, the endpoint interface,
-//! the weight store and the usage intake. [`api`] holds what travels,
-//! [`client::PlatformClient`] sends it.
+//! The platform runs the log, the list of instances, the endpoint interface, the
+//! weight store and the interface for usage reports. [`api`] defines the messages,
+//! [`client::PlatformClient`] sends them.
 
 pub mod api;
 pub mod client;
--- a/crates/platform/tests/transfers.rs
+++ b/crates/platform/tests/transfers.rs
@@ -1,4 +1,4 @@
-//! Answers of the platform that take long to come.
+//! Answers of the platform that arrive slowly.
 
 use std::time::Duration;
 
@@ -9,29 +9,30 @@
     net::{TcpListener, TcpStream},
 };
 
-/// The pause before each piece of an answer.
+/// The pause before each chunk of an answer.
 const PAUSE: Duration = Duration::from_millis(100);
-/// Together they take longer than a call without progress may.
-const PIECES: usize = 26;
+/// The number of chunks of an answer. Their pauses together exceed the time limit of a
+/// call without progress.
+const CHUNKS: usize = 26;
 
-/// Writes an answer of `pieces` pieces, of which `sent` come.
+/// Writes the first `sent` of the [`CHUNKS`] chunks of an answer, then stalls.
 async fn answer(mut stream: TcpStream, body: String, sent: usize) {
     let mut request = [0; 4_096];
     let read = stream.read(&mut request).await.unwrap();
     assert!(read > 0);
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
     stream.write_all(head.as_bytes()).await.unwrap();
-    let size = body.len().div_ceil(PIECES);
-    for piece in body.as_bytes().chunks(size).take(sent) {
+    let size = body.len().div_ceil(CHUNKS);
+    for chunk in body.as_bytes().chunks(size).take(sent) {
         tokio::time::sleep(PAUSE).await;
-        if stream.write_all(piece).await.is_err() {
+        if stream.write_all(chunk).await.is_err() {
             return;
         }
     }
     std::future::pending::<()>().await;
 }
 
-async fn platform(sent: usize) -> PlatformClient {
+async fn start_platform(sent: usize) -> PlatformClient {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     tokio::spawn(async move {
@@ -45,19 +46,20 @@
     PlatformClient::new(&address, &"c1".parse().unwrap(), &"zone-a".parse().unwrap())
 }
 
-/// Guards against giving up, over and over, a read of the log that is larger than the
-/// link carries in the time of a small call.
+/// Guards against a time-out at each attempt to read a range of the log that takes the
+/// link longer to transfer than a small call may take.
 #[tokio::test]
-async fn a_read_that_keeps_coming_is_read_to_its_end() {
-    let client = platform(PIECES).await;
+async fn a_slow_read_that_makes_progress_is_read_to_its_end() {
+    let client = start_platform(CHUNKS).await;
     let read = client.read(LogOffset::START, 500, TimeSpan::ZERO).await;
     read.unwrap();
 }
 
-/// Guards against waiting for good for a platform that stops in the middle of an answer.
+/// Guards against waiting without end for a platform that stalls in the middle of an
+/// answer.
 #[tokio::test]
-async fn a_read_that_stops_coming_is_given_up() {
-    let client = platform(3).await;
+async fn a_stalled_read_times_out() {
+    let client = start_platform(3).await;
     let read = client.read(LogOffset::START, 500, TimeSpan::ZERO).await;
     let error = read.unwrap_err();
     assert!(matches!(error, PlatformError::Unknown(_)), "{error}");
--- a/crates/transfer/src/lib.rs
+++ b/crates/transfer/src/lib.rs
@@ -1,21 +1,21 @@
-//! HTTP calls that are bounded by the progress of their answers.
+//! HTTP calls with time limits on the progress of their answers.
 //!
-//! How long a whole answer takes depends on its size and on the link. A limit on the
-//! whole gives up large answers that are still coming, and the next try begins anew;
-//! with many instances that keeps links and servers busy while nobody gets anything.
-//! So the wait for the head is bounded, then the wait for each piece of the body.
+//! The time for a complete answer depends on its size and on the link. A limit on that
+//! time aborts large answers that are still arriving, and the next attempt starts from
+//! the beginning; with many instances this keeps links and servers busy while no answer
+//! completes. The limit therefore applies to the head and then to each chunk of the body.
 
 use bluebell_core::{clock::TimeSpan, units::ByteSize};
 use bytes::{Bytes, BytesMut};
 use reqwest::{RequestBuilder, StatusCode, header::HeaderMap};
 
-/// The longest time that a body may take to come, as long as it keeps coming.
+/// The maximum total time of a body that makes progress.
 const LONGEST_TRANSFER: TimeSpan = TimeSpan::from_secs(15);
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct CompleteAnswer {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
     /// The headers.
     pub headers: HeaderMap,
@@ -23,37 +23,37 @@
     pub body: Bytes,
 }
 
-/// Why a call brought no whole answer.
+/// Why a call returned no complete answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TransferError {
-    /// No connection came about: the call has not been carried out.
-    #[error("no connection: {0}")]
+    /// The connection could not be opened: the call has not been carried out.
+    #[error("failed to connect: {0}")]
     NotSent(String),
-    /// The answer, or more of it, has not come in time; the call may be carried out
-    /// all the same.
-    #[error("no answer within {limit}, {received} received")]
+    /// The answer, or its next chunk, did not arrive in time; the call may still be
+    /// carried out.
+    #[error("no answer within {limit}, {received} of the body received")]
     TimedOut {
-        /// The time allowed for the head of the answer and for each piece of its
-        /// body, or for a whole answer.
+        /// The time limit for the head of the answer and for each chunk of its body, or
+        /// for the complete answer.
         limit: TimeSpan,
-        /// What had come of the body: nothing from a silent server, something from
-        /// one that stopped in the middle.
+        /// The size of the part of the body that was received: zero from a server that
+        /// didn't answer, more from one that stalled in the middle.
         received: ByteSize,
     },
-    /// The connection broke; the call may have been carried out.
+    /// The connection broke during the call, which may have been carried out.
     #[error("the connection broke: {0}")]
     Broken(String),
 }
 
-/// Sends `request` and reads its whole answer. `patience` bounds the wait for the head
-/// and for each piece of the body.
+/// Sends `request` and reads its complete answer. `timeout` bounds the wait for the
+/// head and for each chunk of the body.
 pub async fn fetch(
     request: RequestBuilder,
-    patience: TimeSpan,
+    timeout: TimeSpan,
 ) -> Result<CompleteAnswer, TransferError> {
     let mut body = BytesMut::new();
-    let read = read_pieces(request, patience, &mut body);
-    let limit = patience + LONGEST_TRANSFER;
+    let read = read_chunks(request, timeout, &mut body);
+    let limit = timeout + LONGEST_TRANSFER;
     let read = tokio::time::timeout(limit.as_duration(), read).await;
     let (status, headers) = read.map_err(|_| timed_out(limit, &body))??;
     Ok(CompleteAnswer {
@@ -63,20 +63,20 @@
     })
 }
 
-async fn read_pieces(
+async fn read_chunks(
     request: RequestBuilder,
-    patience: TimeSpan,
+    timeout: TimeSpan,
     body: &mut BytesMut,
 ) -> Result<(StatusCode, HeaderMap), TransferError> {
-    let wait = patience.as_duration();
+    let wait = timeout.as_duration();
     let sent = tokio::time::timeout(wait, request.send()).await;
-    let sent = sent.map_err(|_| timed_out(patience, body))?;
+    let sent = sent.map_err(|_| timed_out(timeout, body))?;
     let mut answer = sent.map_err(|error| transfer_error(&error))?;
     loop {
-        let piece = tokio::time::timeout(wait, answer.chunk()).await;
-        let piece = piece.map_err(|_| timed_out(patience, body))?;
-        match piece.map_err(|error| transfer_error(&error))? {
-            Some(piece) => body.extend_from_slice(&piece),
+        let chunk = tokio::time::timeout(wait, answer.chunk()).await;
+        let chunk = chunk.map_err(|_| timed_out(timeout, body))?;
+        match chunk.map_err(|error| transfer_error(&error))? {
+            Some(chunk) => body.extend_from_slice(&chunk),
             None => return Ok((answer.status(), answer.headers().clone())),
         }
     }
