--- a/crates/node/examples/causal_bytes.rs
+++ b/crates/node/examples/causal_bytes.rs
@@ -1,13 +1,13 @@
-//! Bytes that a heartbeat spends on causal order: one applied offset, against a
-//! vector with one counter per peer.
+//! Prints how many bytes a heartbeat needs for causal order: with the applied log
+//! offset, and with a vector that has one counter per peer.
 //!
 //! `cargo run -p bluebell-node --example causal_bytes`
 
 use bluebell_node::peers::wire::HeartbeatMessage;
 use prost::Message;
 
-/// One peer's counter in a vector; peers are numbered, which is the smallest
-/// name that they could have.
+/// One peer's counter in a vector. Peers are numbered, which is the shortest
+/// possible id.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 struct VectorEntry {
     #[prost(uint32, tag = "1")]
--- a/crates/node/examples/peer_traffic.rs
+++ b/crates/node/examples/peer_traffic.rs
@@ -1,9 +1,10 @@
-//! Bytes per second that one instance spends on its peers, by the fleet's size.
+//! Measures the peer traffic of one instance, in bytes per second, for a fleet of
+//! a given size.
 //!
 //! `cargo run --release -p bluebell-node --example peer_traffic -- 9 20`
-//! runs nine nodes in three failure domains for twenty seconds, each with
-//! outstanding work at twelve endpoints and served cost of eight organisations
-//! that change every second, while one record a second is appended.
+//! measures nine nodes in three failure domains for twenty seconds. Each node has
+//! outstanding work at twelve endpoints and served cost of eight organisations,
+//! which change every second, while one record a second is appended.
 
 use std::net::SocketAddr;
 
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,9 +1,9 @@
-//! HTTP routes of a node, for operators' commands.
+//! HTTP routes of a node for operator commands.
 //!
-//! | call | answer |
+//! | request | response |
 //! |---|---|
 //! | `GET /node` | [`NodeReport`] |
-//! | `POST /admin/withdraw` [`WithdrawRecord`] | 202 once taken; the record is appended and relayed after that |
+//! | `POST /admin/withdraw` [`WithdrawRecord`] | 202 once the withdrawal is in force here; the record is appended and relayed after that |
 
 use bluebell_core::{
     clock::TimeSpan,
@@ -16,29 +16,30 @@
 
 use crate::handle::NodeHandle;
 
-/// What a node tells of itself.
+/// Status of a node, as returned by `GET /node`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeReport {
-    /// Which.
+    /// The reporting instance.
     pub instance: InstanceId,
-    /// Where it runs.
+    /// The failure domain in which the instance runs.
     pub failure_domain: FailureDomain,
-    /// Whether it stays.
+    /// Whether the instance is live or leaving.
     pub state: InstanceState,
-    /// The offset of the next entry that it will apply.
+    /// The offset of the next log entry to apply.
     pub next_offset: LogOffset,
-    /// Whether it has caught up with the log or with its peers since its start.
+    /// Whether the node has caught up with the log or with its peers since it started.
     pub caught_up: bool,
-    /// Why it has not caught up.
+    /// Why the node has not caught up; none if it has.
     pub obstacle: Option<String>,
-    /// How old its newest confirmed knowledge of the log's end is.
+    /// The time since the end of the log was last confirmed; none if it never was.
     pub freshness: Option<TimeSpan>,
-    /// Whether it reads the log from the platform rather than from a peer.
+    /// Whether the link plan makes this node read the log from the platform
+    /// rather than from a peer.
     pub reads_log: bool,
-    /// Whom it is connected to.
+    /// The peers with an open connection.
     pub links: Vec<InstanceId>,
-    /// What it knows of its peers.
+    /// The last known status of every other instance.
     pub peers: Vec<PeerStatus>,
 }
 
@@ -53,7 +54,7 @@
     Status::Accepted
 }
 
-/// Adds the routes to a daemon's server.
+/// Mounts the routes on a daemon's server.
 pub fn mount(rocket: Rocket<Build>, node: NodeHandle) -> Rocket<Build> {
     rocket
         .mount("/", routes![node_report, withdraw])
--- a/crates/node/src/announce.rs
+++ b/crates/node/src/announce.rs
@@ -1,8 +1,9 @@
-//! Telling the platform's list that this process runs, and reading the list.
+//! Announces this process on the platform's instance list and polls the list.
 //!
-//! The list lags and forgets who has stopped telling it, so the announcement is
-//! repeated every second. A process that shuts down says so at once, so that
-//! callers' balancers and peers stop sending it work before it is gone.
+//! The list is updated with a delay and drops instances that no longer announce
+//! themselves, so the announcement is repeated every second. A process that shuts
+//! down announces it at once, so that load balancers and peers stop sending it
+//! work before it exits.
 
 use bluebell_core::{
     clock::TimeSpan,
@@ -16,16 +17,16 @@
 /// The time between two announcements.
 pub const ANNOUNCE_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
-/// The time between two reads of the list, per instance on it. The list's size
-/// grows with the fleet: read every second it would cost 350 instances tens of
-/// kilobytes a second each. Peers tell of new instances sooner.
+/// The time between two reads of the list, per instance on it. The list grows
+/// with the fleet: at one read a second, each of 350 instances would receive tens
+/// of kilobytes a second. New instances are learned sooner from peers.
 const LIST_INTERVAL_PER_INSTANCE: TimeSpan = TimeSpan::from_millis(100);
 
-/// The longest time between two reads of the list.
+/// The maximum time between two reads of the list.
 const MAX_LIST_INTERVAL: TimeSpan = TimeSpan::from_secs(30);
 
-/// Announces `listing` and reads the list until `token` is cancelled, then
-/// announces that this process leaves.
+/// Announces `listing` and polls the list until `token` is cancelled, then
+/// announces that this process is leaving.
 pub async fn run(node: NodeHandle, listing: InstanceListing, token: CancellationToken) {
     let mut next_read = node.clock().now();
     loop {
@@ -52,7 +53,7 @@
     }
 }
 
-/// Reads the list; answers when to read it again.
+/// Reads the list; returns the delay until the next read.
 async fn read_list(node: &NodeHandle) -> TimeSpan {
     match node.platform().instances().await {
         Ok(listings) => {
--- a/crates/node/src/append.rs
+++ b/crates/node/src/append.rs
@@ -1,4 +1,5 @@
-//! Appends to the log, one at a time, each repeated until its fate is known.
+//! Appends to the log, one at a time; each is retried until its outcome is known
+//! or its time-out ends.
 
 use bluebell_core::{
     clock::{ClockSource, TimeSpan},
@@ -9,43 +10,43 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::sync::CancellationToken;
 
-/// The pause before an append whose fate is unknown is sent again.
+/// The delay before an append that was not confirmed is sent again.
 const RETRY_DELAY: TimeSpan = TimeSpan::from_millis(100);
 
-/// Why an append is not known to stand in the log.
+/// Why an append is not known to be stored in the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AppendError {
-    /// It had no effect and won't have one.
+    /// The append had no effect and will not have one.
     #[error("the record was not appended: {0}")]
     NotAppended(String),
-    /// It may stand in the log or come to stand there until this writer's next
-    /// append; readers tell.
+    /// The record may be stored in the log already, or be stored until this
+    /// writer's next append. Reading the log shows which.
     #[error("whether the record was appended is unknown: {0}")]
     Unknown(String),
 }
 
-/// Where an append landed.
+/// The result of a successful append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppendedRecord {
-    /// The offset that the platform answered.
+    /// The offset returned by the platform.
     pub offset: LogOffset,
-    /// The writer's own number for it.
+    /// The writer's sequence number for the record.
     pub sequence: u64,
-    /// Whether an answer was lost before, so that an earlier copy may stand too:
-    /// readers count that one and drop the one at `offset`.
+    /// Whether an earlier response was lost, so that the log may hold an earlier
+    /// copy: followers of the log then apply that copy and drop the one at `offset`.
     pub may_be_duplicated: bool,
 }
 
-/// One append that waits for its turn.
+/// A queued append.
 #[derive(Debug)]
 pub struct AppendJob {
-    /// The record.
+    /// The record to append.
     pub record: LogRecord,
-    /// Who wants to know.
+    /// Receives the result.
     pub reply: oneshot::Sender<Result<AppendedRecord, AppendError>>,
 }
 
-/// The task that appends.
+/// Appends queued records to the log.
 #[derive(Debug)]
 pub struct LogAppender {
     client: PlatformClient,
@@ -56,7 +57,8 @@
 }
 
 impl LogAppender {
-    /// An appender that writes as `writer`, a name no other process ever had.
+    /// Creates an appender that writes as `writer`, which must never have been used
+    /// by another process. Each append is retried for up to `timeout`.
     pub fn new(
         client: PlatformClient,
         clock: ClockSource,
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Serves `jobs` until `token` is cancelled.
+    /// Processes `jobs` until `token` is cancelled.
     pub async fn run(mut self, mut jobs: mpsc::Receiver<AppendJob>, token: CancellationToken) {
         loop {
             let job = tokio::select! {
--- a/crates/node/src/apply.rs
+++ b/crates/node/src/apply.rs
@@ -1,4 +1,4 @@
-//! Folding entries into the view, and telling what changed.
+//! Applies log entries to the view and publishes the resulting events.
 
 use bluebell_core::{
     clock::ClockTime,
@@ -16,8 +16,8 @@
 };
 
 impl NodeHandle {
-    /// Applies an entry, read from the log or relayed by a peer. One beyond the
-    /// next is left out (see [`FleetView::is_next`]).
+    /// Applies an entry that was read from the log or relayed by a peer. An entry
+    /// that is not the next one is ignored (see [`FleetView::is_next`]).
     pub fn apply(&self, entry: &LogEntry) {
         self.apply_with(entry, || follow::encode(entry));
     }
@@ -27,10 +27,10 @@
         self.apply_with(&entry, || raw);
     }
 
-    /// Events go out before the progress does, and both under the view's lock:
-    /// whoever waits for an offset and then looks for its event would otherwise
-    /// miss it, and of two entries applied at once the older could set the
-    /// progress back.
+    /// Publishes events before the progress, and both under the view's lock.
+    /// Otherwise a caller that waits for an offset and then polls for its event
+    /// could miss it, and of two entries applied concurrently the older could set
+    /// the progress back.
     fn apply_with<Raw>(&self, entry: &LogEntry, raw: Raw)
     where
         Raw: FnOnce() -> RawEntry,
@@ -48,8 +48,9 @@
         self.publish_change(&mut log, events);
     }
 
-    /// Takes over a view that was restored from a checkpoint, if it is further
-    /// than the present one. What was withdrawn in the present one stays so.
+    /// Replaces the view with one restored from a checkpoint if that one is ahead
+    /// of the current view; returns whether it was. Keys withdrawn in the current
+    /// view stay withdrawn.
     pub(crate) fn replace_view(&self, mut restored: FleetView) -> bool {
         let mut log = self.log();
         if restored.next_offset() <= log.view.next_offset() {
@@ -62,8 +63,8 @@
         true
     }
 
-    /// Tells what changed, and then how far the view has come, while the view's
-    /// lock is held: whoever waits for an offset and then looks for its event would
+    /// Publishes the events and then the progress while the view's lock is held:
+    /// a caller that waits for an offset and then polls for its event would
     /// otherwise miss it.
     fn publish_change(&self, log: &mut LogState, events: Vec<ViewEvent>) {
         let next = log.view.next_offset();
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Notes a read of the log that was asked for at `asked` and found its end.
+    /// Records a read of the log that was requested at `requested_at` and returned
+    /// `end` as the end of the log.
     pub(crate) fn note_read(&self, requested_at: ClockTime, end: LogOffset) {
         self.confirm(LogEndConfirmation {
             at: requested_at,
--- a/crates/node/src/buffer.rs
+++ b/crates/node/src/buffer.rs
@@ -1,21 +1,22 @@
-//! The last entries of the log, kept for peers that are behind.
+//! Buffer of the latest log entries, relayed to peers that are behind.
 
 use std::collections::VecDeque;
 
 use bluebell_core::{ids::LogOffset, units::ByteSize};
 use bluebell_platform::api::RawEntry;
 
-/// The most entries that are kept.
+/// Maximum number of buffered entries.
 const MAX_BUFFERED_ENTRIES: usize = 8_192;
 
-/// The most bytes of payload that are kept.
+/// Maximum payload size of the buffered entries.
 const MAX_BUFFERED_SIZE: ByteSize = ByteSize::new(4 * 1024 * 1024);
 
-/// The most entries, and about the most bytes, of one answer.
+/// Maximum number of entries in one answer, and the payload size after which no
+/// further entry is added to it.
 const MAX_ANSWER_ENTRIES: usize = 256;
 const MAX_ANSWER_SIZE: ByteSize = ByteSize::new(128 * 1024);
 
-/// Entries that have been applied, in the order of the log and without a gap.
+/// Applied entries in log order, without gaps.
 #[derive(Clone, Debug, Default)]
 pub struct RelayBuffer {
     entries: VecDeque<RawEntry>,
@@ -23,12 +24,13 @@
 }
 
 impl RelayBuffer {
-    /// Nothing kept yet.
+    /// Creates an empty buffer.
     pub fn new() -> RelayBuffer {
         RelayBuffer::default()
     }
 
-    /// Keeps an entry that follows the last one; after a gap only it is kept.
+    /// Adds an entry. If it does not directly follow the last one, the buffered
+    /// entries are dropped first.
     pub fn push(&mut self, entry: RawEntry) {
         let follows = self
             .entries
@@ -51,12 +53,13 @@
         }
     }
 
-    /// The oldest offset that is kept; `next` if none is.
+    /// The offset of the oldest buffered entry; `next` if the buffer is empty.
     pub fn first_buffered(&self, next: LogOffset) -> LogOffset {
         self.entries.front().map_or(next, |entry| entry.offset)
     }
 
-    /// Entries from `from` on, as many as one answer holds.
+    /// The entries from `from` on, limited to the size of one answer. Empty if the
+    /// entry at `from` is not buffered.
     pub fn read(&self, from: LogOffset) -> Vec<RawEntry> {
         let Some(first) = self.entries.front() else {
             return Vec::new();
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -1,10 +1,11 @@
-//! Following the log: read from the platform, or relayed by a peer that reads it.
+//! Follows the log, read from the platform or relayed by a peer that reads it.
 //!
-//! A few instances per failure domain read directly (see
-//! [`bluebell_core::membership::LinkPlan`]); the others take the entries from
-//! one of those. A follower reads directly, too, while it has no such peer,
-//! while its knowledge of the log's end is old, and when somebody waits for an
-//! entry that has not come: the relay saves reads and is trusted with nothing.
+//! A few instances per failure domain read the log directly (see
+//! [`bluebell_core::membership::LinkPlan`]); the others pull the entries from one
+//! of these readers. A follower reads directly, too, while it has no such peer,
+//! while the end of the log was last confirmed too long ago, and while a caller
+//! waits for an entry that has not arrived. The relay only saves reads;
+//! correctness does not depend on it.
 
 use std::sync::atomic::Ordering;
 
@@ -26,25 +27,25 @@
     restore,
 };
 
-/// The most entries of one read.
+/// Maximum number of entries of one read.
 pub(crate) const MAX_READ_ENTRIES: usize = 500;
 
-/// The pause after a read that failed.
+/// The delay after a failed read.
 const READ_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(200);
 
-/// How old a follower's knowledge of the log's end may grow before it reads the
-/// log itself. Two heartbeats and a long poll, which is what a relay that works
-/// costs, stay below it.
+/// The maximum age of a follower's last confirmation of the log's end before it
+/// reads the log itself. A working relay takes up to two heartbeats and a long
+/// poll, which stay below this limit.
 const MAX_RELAY_AGE: TimeSpan = TimeSpan::from_secs(3);
 
-/// How often a follower looks whether its relay still serves it.
+/// How often a follower checks whether its relay is still usable.
 const RELAY_CHECK_INTERVAL: TimeSpan = TimeSpan::from_millis(250);
 
-/// The time after which a wish for entries is sent again.
+/// The time after which an unanswered request for entries is sent again.
 const PULL_RETRY_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
-/// How long a new process waits for peers to appear before it takes the
-/// greatest offset among those it reached for the greatest there is.
+/// How long a new process waits for peers to connect before it treats the
+/// greatest offset among the connected peers as the end of the log.
 const PEER_DISCOVERY_TIME: TimeSpan = TimeSpan::from_secs(2);
 
 /// Follows the log until `token` is cancelled.
@@ -104,7 +105,7 @@
     let ready = node.has_caught_up_peer();
     node.note_obstacle(match ready {
         true => format!("the log can't be read ({error}); catching up with peers"),
-        false => format!("the log can't be read ({error}) and no peer that is ready is in reach"),
+        false => format!("the log can't be read ({error}) and no peer that is ready is connected"),
     });
 }
 
@@ -115,7 +116,7 @@
 }
 
 impl NodeHandle {
-    /// The peer to take the log from, if it may be relied on now.
+    /// The peer to pull the log from, if the relay may be used now.
     fn upstream(&self) -> Option<InstanceId> {
         let plan = self.state.plan.borrow().clone();
         let progress = self.progress();
@@ -131,7 +132,8 @@
         plan.readers.iter().find(serves).cloned()
     }
 
-    /// Asks `peer` for entries, unless it was asked a moment ago.
+    /// Requests entries from `peer`, unless a request was sent within
+    /// [`PULL_RETRY_INTERVAL`].
     pub(crate) fn pull(&self, peer: &InstanceId) {
         let now = self.state.clock.now();
         let mut links = lock(&self.state.links);
@@ -149,7 +151,8 @@
         links.send(peer, PeerBody::Pull(PullMessage { from }));
     }
 
-    /// Asks the peer that is furthest ahead, if any is ahead.
+    /// Requests entries from the peer that has applied most of the log, if it is
+    /// ahead of this node.
     pub(crate) fn pull_from_most_advanced_peer(&self) {
         if let Some((peer, next)) = self.most_advanced_peer()
             && next > self.progress().next
@@ -166,7 +169,8 @@
         offsets.max_by_key(|(_, next)| *next)
     }
 
-    /// Asks the peer that is furthest ahead for the whole state.
+    /// Requests a snapshot of the state from the peer that has applied most of the
+    /// log, if it is ahead of this node; returns whether a request was queued.
     pub(crate) fn pull_snapshot(&self) -> bool {
         let Some((peer, next)) = self.most_advanced_peer() else {
             return false;
@@ -180,10 +184,10 @@
         links.links().any(|(_, link)| link.caught_up)
     }
 
-    /// While the log can't be read: counts as caught up with the greatest offset
-    /// among the peers in reach, if one of them has caught up itself. Without
-    /// any, a new process knows nothing and must not serve: it would not know
-    /// a withdrawn key or an idempotency key that is taken.
+    /// Used while the log can't be read: marks this node as caught up once it has
+    /// reached the greatest offset among the connected peers, if at least one of
+    /// them has caught up itself. Without such a peer a new process must not serve:
+    /// it has no record of withdrawn keys or of idempotency keys already in use.
     pub(crate) fn check_caught_up_with_peers(&self) {
         let gathered = self.state.clock.now().since(self.state.started) >= PEER_DISCOVERY_TIME;
         if !gathered || !self.has_caught_up_peer() {
@@ -198,8 +202,8 @@
     }
 }
 
-/// Decodes an entry. One that this version does not understand counts as an
-/// empty publish: all readers skip it alike.
+/// Decodes an entry. An entry whose record this version can't parse becomes an
+/// empty publish, so that all instances skip it in the same way.
 pub fn decode(raw: &RawEntry) -> LogEntry {
     let record = serde_json::from_str(&raw.payload).unwrap_or_else(|error| {
         LogLine::new("log_entry_unreadable")
@@ -220,7 +224,7 @@
     }
 }
 
-/// The entry as the platform keeps it.
+/// Encodes an entry in the form in which the platform stores it.
 pub fn encode(entry: &LogEntry) -> RawEntry {
     RawEntry {
         offset: entry.offset,
--- a/crates/node/src/handle.rs
+++ b/crates/node/src/handle.rs
@@ -1,4 +1,4 @@
-//! The handle that a daemon holds on its node: the view, its changes, appends.
+//! The handle through which a daemon uses its node: the view, its events, appends.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -23,30 +23,30 @@
     withdraw::PendingWithdrawals,
 };
 
-/// How many events a slow subscriber may lag behind before it must look at the
-/// whole view again.
+/// How many events are buffered for a slow subscriber. One that lags further
+/// loses events and must read the whole view again.
 const EVENT_BACKLOG: usize = 1_024;
 
-/// How many appends may wait.
+/// Maximum number of queued appends.
 const APPEND_BACKLOG: usize = 1_024;
 
-/// How long a wait for an entry trusts the relay before the log is read directly.
+/// How long a wait for an entry relies on the relay before the log is read directly.
 const RELAY_TIMEOUT: TimeSpan = TimeSpan::from_millis(50);
 
-/// What a node knows of its own place in the log.
+/// How far a node has followed the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct LogProgress {
     /// The offset of the next entry to apply.
     pub next: LogOffset,
-    /// Whether the log's end, or in an outage the greatest offset of the peers
-    /// within reach, has been reached since the node started.
+    /// Whether the node has, since it started, reached the end of the log or, while
+    /// the log was unavailable, the greatest offset of the connected peers.
     pub caught_up: bool,
-    /// When the log was last read with success.
+    /// When the log was last read successfully.
     pub read_at: Option<ClockTime>,
 }
 
-/// Everything that changes with an entry, under one lock: a reader never sees
-/// a view without the relayed entries that led to it.
+/// The state that each applied entry changes, under one lock: the view is never
+/// visible without the buffered entries that led to it.
 pub(crate) struct LogState {
     pub(crate) view: FleetView,
     pub(crate) buffer: RelayBuffer,
@@ -61,7 +61,8 @@
     pub(crate) log: Mutex<LogState>,
     pub(crate) events: broadcast::Sender<ViewEvent>,
     pub(crate) progress: watch::Sender<LogProgress>,
-    /// An offset that somebody waits for, to be read directly if need be.
+    /// The next offset that callers wait to reach. While it is ahead of the
+    /// progress, the log is read directly.
     pub(crate) requested_offset: watch::Sender<LogOffset>,
     pub(crate) appends: mpsc::Sender<AppendJob>,
     pub(crate) writer: WriterId,
@@ -72,22 +73,24 @@
     pub(crate) urgent_record_events: broadcast::Sender<LogRecord>,
     pub(crate) withdrawals: Mutex<PendingWithdrawals>,
     pub(crate) local: watch::Sender<LocalStatus>,
-    /// Why the node has not caught up, for operators.
+    /// Why the node has not caught up, as shown to operators.
     pub(crate) obstacle: Mutex<String>,
-    /// Counts up to make all connections send a heartbeat at once.
+    /// Incremented to make all connections send a heartbeat at once.
     pub(crate) heartbeat_requests: watch::Sender<u64>,
     pub(crate) peer_bytes: std::sync::atomic::AtomicU64,
     pub(crate) log_reads: std::sync::atomic::AtomicU64,
 }
 
-/// A handle on a running node; clones share it.
+/// A handle to a running node; clones refer to the same node.
 #[derive(Clone)]
 pub struct NodeHandle {
     pub(crate) state: Arc<NodeState>,
 }
 
 pub(crate) fn lock<Value>(mutex: &Mutex<Value>) -> MutexGuard<'_, Value> {
-    mutex.lock().expect("no holder panics")
+    mutex
+        .lock()
+        .expect("no thread panics while it holds the lock")
 }
 
 impl NodeHandle {
@@ -165,7 +168,7 @@
         &self.state.client
     }
 
-    /// The name under which this process appends.
+    /// The writer id under which this process appends.
     pub fn writer(&self) -> &WriterId {
         &self.state.writer
     }
@@ -174,7 +177,7 @@
         lock(&self.state.log)
     }
 
-    /// Lets `read` look at the view. It must not block.
+    /// Calls `read` with the view while the view is locked; `read` must not block.
     pub fn with_view<Answer, Read>(&self, read: Read) -> Answer
     where
         Read: FnOnce(&FleetView) -> Answer,
@@ -182,19 +185,19 @@
         read(&self.log().view)
     }
 
-    /// What changes from now on.
+    /// Subscribes to the events that the view produces from now on.
     pub fn subscribe(&self) -> broadcast::Receiver<ViewEvent> {
         self.state.events.subscribe()
     }
 
-    /// Where the node stands in the log.
+    /// How far the node has followed the log.
     pub fn progress(&self) -> LogProgress {
         *self.state.progress.borrow()
     }
 
-    /// The age of the newest confirmed knowledge of the log's end, read by this
-    /// node or relayed: no record that stood in the log longer ago than this is
-    /// missing from the view. None if the end has never been confirmed.
+    /// The time since the end of the log was last confirmed, by a read of this node
+    /// or through a peer: no record that was in the log that long ago is missing
+    /// from the view. None if the end has never been confirmed.
     pub fn freshness(&self) -> Option<TimeSpan> {
         let now = self.state.clock.now();
         self.log().freshness.age(now)
@@ -212,9 +215,15 @@
         *lock(&self.state.obstacle) = obstacle;
     }
 
-    /// Appends a record and waits until its fate is known or the settings'
-    /// patience ends. The offset is that at which readers count the record: if
-    /// the answer to a first try was lost and the record stands twice, the first.
+    /// Appends a record and waits until its outcome is known or the configured
+    /// append time-out ends. Returns the offset at which the record is applied: if
+    /// the response to the first attempt was lost and the record is in the log
+    /// twice, the offset of the first copy.
+    ///
+    /// # Errors
+    ///
+    /// [`AppendError::NotAppended`] if the record has no effect,
+    /// [`AppendError::Unknown`] if it may be in the log.
     pub async fn append(&self, record: LogRecord) -> Result<LogOffset, AppendError> {
         let (reply, answer) = oneshot::channel();
         let stopped = || AppendError::NotAppended("the node is stopping".to_string());
@@ -231,20 +240,23 @@
         }
         let timeout = self.state.settings.append_timeout;
         if !self.wait_applied(appended.offset, timeout).await {
-            let message = format!("it may stand twice, up to offset {}", appended.offset);
+            let message = format!(
+                "the record may be in the log twice, up to offset {}",
+                appended.offset
+            );
             return Err(AppendError::Unknown(message));
         }
-        let standing = self.with_view(|view| view.writers.standing(&self.state.writer));
-        match standing {
+        let last_applied = self.with_view(|view| view.writers.standing(&self.state.writer));
+        match last_applied {
             Some(mark) if mark.sequence == appended.sequence => Ok(mark.offset),
-            // The writer has appended since; only the first copy can have been
-            // taken before that, and its offset is no longer remembered.
-            _ => Err(AppendError::Unknown("it stands twice".to_string())),
+            // The writer has appended again since. The copy applied before that was
+            // the first one, and its offset is no longer stored.
+            _ => Err(AppendError::Unknown("the record may be in the log twice, and the offset at which it was applied is no longer stored".to_string())),
         }
     }
 
-    /// Waits until the entry at `offset` has been applied; answers whether it
-    /// was within `patience`.
+    /// Waits until the entry at `offset` has been applied; returns whether it was
+    /// applied within `timeout`.
     pub async fn wait_applied(&self, offset: LogOffset, timeout: TimeSpan) -> bool {
         let mut progress = self.state.progress.subscribe();
         let mut applied = async |timeout: TimeSpan| {
@@ -256,18 +268,18 @@
         if applied(timeout.min(RELAY_TIMEOUT)).await {
             return true;
         }
-        // The relay lags: somebody waits for this very entry, so read the log.
+        // The relay lags and this entry is awaited: request a direct read of the log.
         self.state
             .requested_offset
             .send_if_modified(|requested_offset| {
-                let further = *requested_offset <= offset;
+                let advanced = *requested_offset <= offset;
                 *requested_offset = (*requested_offset).max(offset.next());
-                further
+                advanced
             });
         applied(timeout.less(RELAY_TIMEOUT)).await
     }
 
-    /// Waits until the node has caught up; answers whether it did within `patience`.
+    /// Waits until the node has caught up; returns whether it did within `timeout`.
     pub async fn wait_caught_up(&self, timeout: TimeSpan) -> bool {
         let mut progress = self.state.progress.subscribe();
         let caught_up = progress.wait_for(|progress| progress.caught_up);
@@ -276,14 +288,14 @@
             .is_ok_and(|seen| seen.is_ok())
     }
 
-    /// Bytes of peer traffic sent and received since the start.
+    /// Bytes of peer traffic sent and received since the node started.
     pub fn peer_bytes(&self) -> u64 {
         self.state
             .peer_bytes
             .load(std::sync::atomic::Ordering::Relaxed)
     }
 
-    /// Reads of the platform's log since the start.
+    /// Number of reads of the platform's log since the node started.
     pub fn log_reads(&self) -> u64 {
         self.state
             .log_reads
@@ -291,8 +303,9 @@
     }
 }
 
-/// A writer name that no earlier process of this instance had: sequence numbers
-/// start again with every process, and readers drop what they take for repeats.
+/// Returns a writer id that no earlier process of this instance used: sequence
+/// numbers start again with every process, and followers of the log drop a
+/// sequence number that they have already applied for a writer.
 fn unique_writer_id(settings: &NodeSettings, clock: &ClockSource) -> WriterId {
     let salt: u32 = rand::random();
     let name = format!("{}:{}:{salt:08x}", settings.instance, clock.now());
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,15 +1,16 @@
-//! What entries and controllers share: a node that follows the platform's log,
-//! appends to it, and knows its peers.
+//! The node shared by entries and controllers: follows the platform's log,
+//! appends to it, and exchanges state with peer instances.
 //!
-//! [`NodeHandle`] is what the rest of a daemon holds. One task per node follows
-//! the log in order, read from the platform or relayed by a peer, and folds it
-//! into a [`bluebell_core::view::FleetView`]; another appends, one record at a
-//! time. Because a writer has at most one append under way, its sequence
-//! numbers stand in the log in order, and an append that was given up and lands
-//! late is dropped by every reader.
+//! The rest of a daemon uses the node through [`NodeHandle`]. One task per node
+//! follows the log in order, read from the platform or relayed by a peer, and
+//! applies it to a [`bluebell_core::view::FleetView`]; another task appends, one
+//! record at a time. Because a writer has at most one append in flight, its
+//! sequence numbers appear in the log in order, and every node that follows the
+//! log drops an append that timed out and is stored late.
 //!
-//! [`NodeHandle::join`] adds the peers: heartbeats with what each instance tells
-//! of its work, the relay of the log, and notes that can't wait for the log.
+//! [`NodeHandle::join`] adds the peer connections: heartbeats that carry each
+//! instance's load, the relay of the log, and urgent records that are sent to
+//! peers without waiting for the log.
 
 pub mod admin;
 pub mod announce;
--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -1,4 +1,4 @@
-//! Joining the other instances, and what is known of them.
+//! Joins the other instances and reports their status.
 
 use std::net::SocketAddr;
 
@@ -20,9 +20,13 @@
 };
 
 impl NodeHandle {
-    /// Joins the other instances: takes peer connections, appears on the
-    /// platform's list as a `program` that answers HTTP at `http_address`, and
-    /// does both until `token` is cancelled. Answers the address for peers.
+    /// Joins the other instances: accepts peer connections and announces a
+    /// `program` that serves HTTP at `http_address` on the platform's list, both
+    /// until `token` is cancelled. Returns the address bound for peer connections.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the peer address of the settings can't be bound.
     pub async fn join(
         &self,
         program: InstanceProgram,
@@ -49,13 +53,14 @@
         Ok(peer_address)
     }
 
-    /// Sets what this process tells its peers of its work. Setting the state to
-    /// leaving is told at once, to peers and to the platform's list.
+    /// Sets the load and state that this process reports to its peers. A change of
+    /// the state, such as to leaving, is sent at once to peers and to the
+    /// platform's list.
     pub fn set_local(&self, status: LocalStatus) {
         self.state.local.send_replace(status);
     }
 
-    /// What this process tells its peers of its work.
+    /// The load and state that this process reports to its peers.
     pub fn local(&self) -> LocalStatus {
         self.state.local.borrow().clone()
     }
@@ -64,14 +69,14 @@
         self.state.local.borrow().state
     }
 
-    /// Waits until this process's own state is no longer `before`.
+    /// Waits until the state of this process differs from `before`.
     pub(crate) async fn local_changed(&self, before: InstanceState) {
         let mut local = self.state.local.subscribe();
         let changed = local.wait_for(|status| status.state != before).await;
         drop(changed);
     }
 
-    /// What is known of every other instance, by instance.
+    /// The last known status of every other instance, ordered by instance id.
     pub fn peers(&self) -> Vec<PeerStatus> {
         let now = self.state.clock.now();
         self.members().peers(now)
@@ -86,7 +91,7 @@
         self.members().update_listings(now, listings);
     }
 
-    /// Puts this process's own state into what heartbeats carry.
+    /// Updates the presence, progress and load of this process that heartbeats carry.
     pub(crate) fn refresh_local_presence(&self, listing: &InstanceListing) {
         let local = self.local();
         let presence = MemberPresence {
@@ -100,9 +105,10 @@
         self.members().set_local(presence, next, &local);
     }
 
-    /// Makes the plan of connections anew. Readers are chosen among instances
-    /// that are live; connections are also kept to suspected ones, or a cut
-    /// path that heals would never be noticed.
+    /// Recomputes the plan of connections and returns the listings of the planned
+    /// neighbours. Readers are chosen among live instances that are not suspected.
+    /// Connections to other instances are kept, too: otherwise the end of a
+    /// network partition would never be noticed.
     pub(crate) fn update_link_plan(&self) -> Vec<InstanceListing> {
         let now = self.state.clock.now();
         let local_member = PlanMember {
@@ -139,13 +145,13 @@
         targets
     }
 
-    /// The number of the connection to `peer` that stands; a later one has a
-    /// greater number.
+    /// The number of the current connection to `peer`; later connections have
+    /// greater numbers.
     pub fn link_number(&self, peer: &InstanceId) -> Option<u64> {
         lock(&self.state.links).link(peer).map(|link| link.number)
     }
 
-    /// What this node tells operators of itself.
+    /// The status report of this node for operators.
     pub fn report(&self) -> NodeReport {
         let progress = self.progress();
         NodeReport {
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -1,10 +1,11 @@
-//! One connection to a peer, from its first frame to its end.
+//! One connection to a peer, from the handshake until it closes.
 //!
-//! A connection can go silent for good while new ones would work: something
-//! between the two ends has lost track of it, and TCP alone notices after
-//! minutes. Whoever hears nothing for [`HEARTBEAT_TIMEOUT`] drops it, and the
-//! plan opens a new one. Sending is bounded in the same way, since the buffers
-//! of a connection that nobody reads fill up.
+//! A connection can stop carrying data while new ones would work, for example when
+//! a device on the path drops its state; TCP alone detects this after minutes.
+//! Either side closes a connection on which it receives nothing for
+//! [`HEARTBEAT_TIMEOUT`], and a new one is opened as planned. Sending has the same
+//! time-out, because the buffers of a connection fill up when the peer stops
+//! reading.
 
 use std::sync::atomic::Ordering;
 
@@ -31,29 +32,30 @@
 /// The time between two heartbeats.
 pub const HEARTBEAT_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
-/// How many frames may wait to be sent.
+/// Maximum number of frames queued for sending.
 const FRAME_BACKLOG: usize = 256;
 
-/// Bytes of a frame's length.
+/// Size of the length prefix of a frame, in bytes.
 const LENGTH_BYTES: u64 = 4;
 
 /// Why a connection ended.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// The network reports an error.
+    /// Reading from or writing to the socket failed.
     #[error("the connection failed: {0}")]
     Io(#[from] std::io::Error),
-    /// The other side closed it.
+    /// The peer closed the connection.
     #[error("the peer closed the connection")]
     Closed,
-    /// Nothing came, or nothing could be sent, for too long.
-    #[error("the connection went silent")]
+    /// Nothing was received, or a frame could not be sent, for [`HEARTBEAT_TIMEOUT`].
+    #[error("the connection timed out: no frame was received or sent within {HEARTBEAT_TIMEOUT}")]
     TimedOut,
-    /// A frame can't be read.
-    #[error("the peer sent a frame that can't be read: {0}")]
+    /// A frame is invalid or not allowed in the current state.
+    #[error("the peer sent an invalid frame: {0}")]
     Frame(String),
-    /// This process is stopping, or a newer connection took this one's place.
-    #[error("the connection is no longer wanted")]
+    /// This process is stopping, a newer connection has replaced this one, the plan
+    /// no longer includes it, or its queue of frames was full.
+    #[error("the connection was closed by this instance")]
     Cancelled,
 }
 
@@ -64,18 +66,19 @@
     framed: Framed<TcpStream, LengthDelimitedCodec>,
     /// The last stamp that the peer sent, to echo.
     pub(crate) echo: Option<u64>,
-    /// How many bytes of news the peer takes in a second.
+    /// How many bytes of gossip updates the peer accepts per second.
     pub(crate) peer_budget: usize,
-    /// How many bytes of news may be sent with the next heartbeat.
+    /// How many bytes of gossip updates may be sent with the next heartbeat.
     pub(crate) credit: usize,
-    /// From which offset on the peer wants entries.
+    /// The offset from which the peer has requested entries; none if no request is
+    /// open.
     pub(crate) pull: Option<LogOffset>,
-    /// Parts of the state that was asked for.
+    /// The parts received so far of a requested snapshot.
     pub(crate) snapshot: bluebell_core::checkpoint::CheckpointReader,
     last_seen: ClockTime,
 }
 
-/// Serves a connection until it ends.
+/// Performs the handshake and serves the connection until it ends.
 pub(crate) async fn run(
     node: NodeHandle,
     stream: TcpStream,
@@ -145,14 +148,18 @@
                 .instance
                 .parse::<InstanceId>()
                 .map_err(|error| LinkError::Frame(error.to_string())),
-            _ => Err(LinkError::Frame("the first is no greeting".to_string())),
+            _ => Err(LinkError::Frame(
+                "the first frame is not a hello message".to_string(),
+            )),
         }
     };
     let peer = tokio::time::timeout(timeout, exchange)
         .await
         .map_err(|_| LinkError::TimedOut)??;
     if peer == node.settings().instance {
-        return Err(LinkError::Frame(format!("`{peer}` is our own name")));
+        return Err(LinkError::Frame(format!(
+            "the peer's instance id `{peer}` is the id of this instance"
+        )));
     }
     Ok(peer)
 }
@@ -161,7 +168,7 @@
     let frame = PeerFrame::decode(frame).map_err(|error| LinkError::Frame(error.to_string()))?;
     frame
         .body
-        .ok_or_else(|| LinkError::Frame("a frame of an unknown kind".to_string()))
+        .ok_or_else(|| LinkError::Frame("the frame has no body of a known kind".to_string()))
 }
 
 impl PeerConnection {
@@ -216,7 +223,7 @@
         counter.fetch_add(bytes as u64 + LENGTH_BYTES, Ordering::Relaxed);
     }
 
-    /// Sends a frame, for at most as long as a heartbeat may take.
+    /// Sends a frame; fails if that takes longer than [`HEARTBEAT_TIMEOUT`].
     pub(crate) async fn send(&mut self, body: PeerBody) -> Result<(), LinkError> {
         let frame: Bytes = PeerFrame { body: Some(body) }.encode_to_vec().into();
         self.count(frame.len());
--- a/crates/node/src/peers/link_table.rs
+++ b/crates/node/src/peers/link_table.rs
@@ -1,4 +1,4 @@
-//! The connections that stand, by peer.
+//! The open connections, by peer.
 
 use std::collections::BTreeMap;
 
@@ -11,26 +11,27 @@
 
 use crate::peers::wire::PeerBody;
 
-/// What one connection is known by.
+/// State of one open connection.
 #[derive(Clone, Debug)]
 pub struct PeerLink {
-    /// Tells this connection from earlier ones to the same peer.
+    /// Distinguishes this connection from earlier ones to the same peer.
     pub number: u64,
     /// Whether this process opened it.
     pub dialled: bool,
-    /// Where frames for the peer go.
+    /// Queue of frames to send to the peer.
     pub frames: mpsc::Sender<PeerBody>,
-    /// Ends the connection.
+    /// Closes the connection when cancelled.
     pub token: CancellationToken,
-    /// How far the peer has applied the log, by its last heartbeat.
+    /// The offset of the next entry that the peer will apply, from its last
+    /// heartbeat.
     pub next_offset: Option<LogOffset>,
-    /// Whether the peer has caught up since its start.
+    /// Whether the peer has caught up since it started, from its last heartbeat.
     pub caught_up: bool,
-    /// When a wish for entries was last sent over it.
+    /// When a request for entries was last sent; none if it has been answered.
     pub pulled_at: Option<ClockTime>,
 }
 
-/// All connections that stand.
+/// All open connections.
 #[derive(Clone, Debug, Default)]
 pub struct LinkTable {
     links: BTreeMap<InstanceId, PeerLink>,
@@ -38,13 +39,13 @@
 }
 
 impl LinkTable {
-    /// No connection yet.
+    /// Creates an empty table.
     pub fn new() -> LinkTable {
         LinkTable::default()
     }
 
-    /// Puts a new connection in the place of an older one to the same peer, and
-    /// ends that: the path that it took may have gone silent for good.
+    /// Adds a connection and returns its number. An older connection to the same
+    /// peer is replaced and closed, because its network path may be dead.
     pub fn open(
         &mut self,
         peer: &InstanceId,
@@ -68,8 +69,8 @@
         self.opened
     }
 
-    /// Removes a connection that has ended, unless a newer one took its place;
-    /// answers whether it was the peer's only one.
+    /// Removes a closed connection unless a newer one has replaced it; returns
+    /// whether it was removed.
     pub fn close(&mut self, peer: &InstanceId, number: u64) -> bool {
         let is_current = self.links.get(peer).is_some_and(|l| l.number == number);
         if is_current {
@@ -78,32 +79,33 @@
         is_current
     }
 
-    /// The connection to `peer`.
+    /// Returns the open connection to `peer`.
     pub fn link(&self, peer: &InstanceId) -> Option<&PeerLink> {
         self.links.get(peer)
     }
 
-    /// The connection to `peer`, to note something.
+    /// Returns the open connection to `peer` for updates.
     pub fn link_mut(&mut self, peer: &InstanceId) -> Option<&mut PeerLink> {
         self.links.get_mut(peer)
     }
 
-    /// All connections.
+    /// All open connections, ordered by peer.
     pub fn links(&self) -> impl Iterator<Item = (&InstanceId, &PeerLink)> {
         self.links.iter()
     }
 
-    /// How many there are.
+    /// The number of open connections.
     pub fn len(&self) -> usize {
         self.links.len()
     }
 
-    /// Whether there is none.
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.links.is_empty()
     }
 
-    /// Sends a frame to `peer`; one that is stuck loses its connection instead.
+    /// Queues a frame for `peer`; returns whether it was queued. If the peer's queue
+    /// is full, the connection is closed instead.
     pub fn send(&self, peer: &InstanceId, body: PeerBody) -> bool {
         let Some(link) = self.links.get(peer) else {
             return false;
@@ -115,7 +117,7 @@
         true
     }
 
-    /// Sends a frame to all peers but `except`.
+    /// Queues a frame for all connected peers but `except`.
     pub fn broadcast(&self, body: &PeerBody, except: Option<&InstanceId>) {
         for peer in self.links.keys().filter(|peer| Some(*peer) != except) {
             self.send(peer, body.clone());
--- a/crates/node/src/peers/messages.rs
+++ b/crates/node/src/peers/messages.rs
@@ -1,4 +1,4 @@
-//! What a connection does with each kind of frame.
+//! Sends and handles each kind of frame.
 
 use bluebell_core::{
     checkpoint::{CheckpointWriter, PART_SIZE},
@@ -23,22 +23,24 @@
     },
 };
 
-/// Bytes of news that one process sends, and takes, in a second over all its
-/// connections.
+/// Bytes of gossip updates that one process sends, and accepts, per second over
+/// all its connections.
 const UPDATE_BYTES_PER_SECOND: usize = 500;
 
-/// The fewest bytes that news is sent for: with many connections, a heartbeat
-/// without any goes between.
+/// Minimum credit, in bytes, for which gossip updates are sent: with many
+/// connections, some heartbeats carry none until the credit has built up.
 const MIN_UPDATE_BYTES: usize = 64;
 
-/// The most bytes of news in one heartbeat.
+/// Maximum bytes of gossip updates in one heartbeat.
 const MAX_UPDATE_BYTES: usize = 400;
 
 impl PeerConnection {
-    /// Takes a frame.
+    /// Handles a received frame.
     pub(crate) async fn handle_frame(&mut self, body: PeerBody) -> Result<(), LinkError> {
         match body {
-            PeerBody::Hello(_) => Err(LinkError::Frame("a second greeting".to_string())),
+            PeerBody::Hello(_) => Err(LinkError::Frame(
+                "a second hello message was received".to_string(),
+            )),
             PeerBody::Heartbeat(heartbeat) => {
                 self.handle_heartbeat(heartbeat);
                 Ok(())
@@ -78,8 +80,9 @@
         self.send(PeerBody::Heartbeat(heartbeat)).await
     }
 
-    /// The news to send now: what this process may send over one connection and
-    /// its peer takes, saved up until it is worth sending.
+    /// Returns the gossip updates to send with the next heartbeat. Each call adds
+    /// the smaller of `budget` and the peer's budget, in bytes, to the credit;
+    /// nothing is sent until the credit reaches [`MIN_UPDATE_BYTES`].
     fn next_updates(&mut self, local: &InstanceId, budget: usize) -> Vec<ItemMessage> {
         self.credit = (self.credit + budget.min(self.peer_budget)).min(MAX_UPDATE_BYTES);
         if self.credit < MIN_UPDATE_BYTES {
@@ -114,7 +117,8 @@
         let items = heartbeat.items.into_iter();
         let items: Vec<_> = items.filter_map(|i| i.into_item(&self.peer)).collect();
         self.node.members().receive(now, &self.peer, &items);
-        // Without the log, a peer that is ahead is the only way to learn more.
+        // While the log can't be read, entries are only available from a peer that
+        // is ahead.
         if next > self.node.progress().next && self.node.is_log_reading_late() {
             self.node.pull(&self.peer);
         }
@@ -202,8 +206,8 @@
 }
 
 impl NodeHandle {
-    /// Whether this node's own reading of the log does not keep up: it may then
-    /// take entries from any peer.
+    /// Whether this node's last direct read of the log is overdue; it may then pull
+    /// entries from any peer.
     fn is_log_reading_late(&self) -> bool {
         let max_age = TimeSpan::from_secs(1) + self.settings().read_wait;
         let read_at = self.progress().read_at;
@@ -218,8 +222,9 @@
             .send_modify(|heartbeat_requests| *heartbeat_requests += 1);
     }
 
-    /// Tells all peers a record that can't wait for the log: a withdrawal, a
-    /// quarantine, a mark. It is no substitute for appending it.
+    /// Sends an urgent record, such as a withdrawal, a quarantine or a drain mark,
+    /// to all peers without waiting for the log. The record must be appended to the
+    /// log as well.
     pub fn broadcast_urgent_record(&self, record: &LogRecord) {
         let Ok(payload) = serde_json::to_string(record) else {
             return;
@@ -231,8 +236,8 @@
         lock(&self.state.links).broadcast(&message, None);
     }
 
-    /// Records that peers told before they stood in the log. Withdrawals are
-    /// not among them: they have taken effect already.
+    /// Subscribes to the urgent records received from peers. Withdrawals are not
+    /// included: the node applies them itself.
     pub fn subscribe_urgent_records(&self) -> broadcast::Receiver<LogRecord> {
         self.state.urgent_record_events.subscribe()
     }
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -1,8 +1,8 @@
-//! Connections between instances: who keeps one to whom, and how it is opened.
+//! Opens and accepts the planned connections between instances.
 //!
-//! Either side may open one. The instance with the smaller name does so at
-//! once, the other only after a while, so that two seldom cross; where they do,
-//! the newer takes the place of the older.
+//! Either side may open a connection. The instance with the smaller id does so at
+//! once, the other one only after a delay, so that two connections are seldom
+//! opened at the same time; if they are, the newer one replaces the older one.
 
 mod link;
 pub mod link_table;
@@ -22,19 +22,19 @@
 
 use crate::handle::{NodeHandle, lock};
 
-/// How often the wanted connections are looked at.
+/// How often the connections are compared with the plan.
 const MAINTENANCE_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
 
-/// How long the instance with the greater name leaves it to the other to connect.
+/// How long the instance with the greater id waits for the other one to connect.
 const DIAL_DELAY: TimeSpan = TimeSpan::from_secs(2);
 
-/// The time between two tries to connect to one peer.
+/// The minimum time between two attempts to connect to the same peer.
 const DIAL_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
-/// How long a connection may take to open.
+/// Time-out for opening a connection.
 const DIAL_TIMEOUT: TimeSpan = TimeSpan::from_secs(1);
 
-/// Takes connections from peers until `token` is cancelled.
+/// Accepts connections from peers until `token` is cancelled.
 pub(crate) async fn accept(node: NodeHandle, listener: TcpListener, token: CancellationToken) {
     loop {
         let accepted = tokio::select! {
@@ -72,11 +72,11 @@
                 missing.remove(peer);
                 continue;
             }
-            let since = *missing.entry(peer.clone()).or_insert(now);
+            let missing_since = *missing.entry(peer.clone()).or_insert(now);
             let dialled_recently = dialled_at
                 .get(peer)
                 .is_some_and(|at| now.since(*at) < DIAL_INTERVAL);
-            let may_dial = local.instance < *peer || now.since(since) >= DIAL_DELAY;
+            let may_dial = local.instance < *peer || now.since(missing_since) >= DIAL_DELAY;
             if may_dial && !dialled_recently {
                 dialled_at.insert(peer.clone(), now);
                 tokio::spawn(dial(node.clone(), listing, token.child_token()));
@@ -94,7 +94,7 @@
     }
 }
 
-/// Ends connections that this process opened and the plan no longer wants.
+/// Closes connections that this process opened and the plan no longer includes.
 fn close_unplanned(node: &NodeHandle) {
     let plan = node.state.plan.borrow().clone();
     for (peer, link) in lock(&node.state.links).links() {
--- a/crates/node/src/peers/wire.rs
+++ b/crates/node/src/peers/wire.rs
@@ -1,7 +1,7 @@
-//! What travels between peers: length-delimited protobuf messages.
+//! The protocol between peers: length-delimited protobuf messages.
 //!
-//! The messages are derived by hand. Offsets, versions and stamps are varints;
-//! records travel as the JSON text that stands in the log.
+//! The messages are declared in Rust, without a schema file. Offsets, versions and
+//! stamps are varints; records are sent as the JSON text that is stored in the log.
 
 use bluebell_core::{
     clock::{ClockTime, TimeSpan},
@@ -14,91 +14,92 @@
 };
 use bluebell_platform::api::RawEntry;
 
-/// The largest frame: a part of a snapshot or a stretch of the log fits with room.
+/// Maximum frame size in bytes. A snapshot part and an answer with log entries are
+/// well below it.
 pub const FRAME_LIMIT: usize = 1024 * 1024;
 
-/// One frame.
+/// A frame: the unit of transmission on a peer connection.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PeerFrame {
-    /// What it says.
+    /// The message; none if its kind is unknown to this version.
     #[prost(oneof = "PeerBody", tags = "1, 2, 3, 4, 5, 6, 7")]
     pub body: Option<PeerBody>,
 }
 
-/// What a frame says.
+/// The message in a frame.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum PeerBody {
-    /// Who speaks; the first frame of each side.
+    /// Identifies the sender; the first frame in each direction.
     #[prost(message, tag = "1")]
     Hello(HelloMessage),
-    /// A sign of life with news.
+    /// A heartbeat with gossip updates.
     #[prost(message, tag = "2")]
     Heartbeat(HeartbeatMessage),
-    /// A wish for entries.
+    /// A request for log entries.
     #[prost(message, tag = "3")]
     Pull(PullMessage),
-    /// Entries.
+    /// Log entries, in answer to a pull.
     #[prost(message, tag = "4")]
     Entries(EntriesMessage),
-    /// A record that can't wait for the log.
+    /// A record that is sent without waiting for the log.
     #[prost(message, tag = "5")]
     UrgentRecord(UrgentRecordMessage),
-    /// A wish for the whole state.
+    /// A request for a snapshot of the state.
     #[prost(message, tag = "6")]
     SnapshotPull(SnapshotPullMessage),
-    /// A part of the whole state.
+    /// One part of a snapshot.
     #[prost(message, tag = "7")]
     SnapshotPart(SnapshotPartMessage),
 }
 
-/// Who speaks.
+/// Identifies the sender.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct HelloMessage {
-    /// The instance.
+    /// The id of the sending instance.
     #[prost(string, tag = "1")]
     pub instance: String,
 }
 
-/// A sign of life.
+/// Shows that the sender is alive and reports its progress and gossip updates.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct HeartbeatMessage {
     /// The sender's clock, in milliseconds since its process started.
     #[prost(uint64, tag = "1")]
     pub stamp: u64,
-    /// The last stamp that the sender got from the receiver.
+    /// The last stamp that the sender received from the receiver.
     #[prost(uint64, optional, tag = "2")]
     pub echo: Option<u64>,
     /// The offset of the next entry that the sender will apply.
     #[prost(uint64, tag = "3")]
     pub next_offset: u64,
-    /// How old the sender's knowledge of the log's end is, in milliseconds.
+    /// The time since the sender last confirmed the end of the log, in milliseconds.
     #[prost(uint64, optional, tag = "4")]
     pub freshness: Option<u64>,
-    /// Whether the sender has caught up since its start.
+    /// Whether the sender has caught up since it started.
     #[prost(bool, tag = "5")]
     pub caught_up: bool,
-    /// News of the sender and of others.
+    /// Gossip updates about the sender and other members.
     #[prost(message, repeated, tag = "6")]
     pub items: Vec<ItemMessage>,
-    /// How many bytes of news the sender takes from the receiver each second:
-    /// few, if it has many connections.
+    /// How many bytes of gossip updates the sender accepts from the receiver per
+    /// second; the more connections it has, the fewer.
     #[prost(uint64, optional, tag = "7")]
     pub update_budget: Option<u64>,
 }
 
-/// A wish for entries: answered as soon as there are any.
+/// A request for entries, answered as soon as there are any.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct PullMessage {
-    /// From which offset on.
+    /// The offset of the first requested entry.
     #[prost(uint64, tag = "1")]
     pub from: u64,
 }
 
-/// Entries in the order of the log.
+/// Entries in log order.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EntriesMessage {
-    /// The oldest offset that the sender can still relay. If it lies beyond what
-    /// the receiver asked for, the receiver needs a snapshot.
+    /// The oldest offset that the sender can still relay. If it is greater than the
+    /// offset that the receiver needs next, the receiver needs a snapshot.
     #[prost(uint64, tag = "1")]
     pub first_buffered: u64,
     /// The entries.
@@ -106,136 +107,137 @@
     pub entries: Vec<EntryMessage>,
 }
 
-/// One entry.
+/// A log entry.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EntryMessage {
-    /// Where it stands.
+    /// The offset of the entry in the log.
     #[prost(uint64, tag = "1")]
     pub offset: u64,
-    /// Who appended it.
+    /// The id of the writer that appended the entry.
     #[prost(string, tag = "2")]
     pub writer: String,
-    /// The writer's own number for it.
+    /// The writer's sequence number for the entry.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// The record.
+    /// The record as JSON.
     #[prost(string, tag = "4")]
     pub payload: String,
 }
 
-/// A record that can't wait for the log, such as a withdrawal.
+/// A record that is sent without waiting for the log, such as a withdrawal.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct UrgentRecordMessage {
-    /// The record, as it would stand in the log.
+    /// The record as JSON, in the form stored in the log.
     #[prost(string, tag = "1")]
     pub payload: String,
 }
 
-/// A wish for the whole state.
+/// A request for a snapshot of the state.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct SnapshotPullMessage {}
 
-/// A part of the whole state, as a checkpoint part in JSON.
+/// One part of a snapshot.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SnapshotPartMessage {
-    /// The part.
+    /// The checkpoint part as JSON.
     #[prost(string, tag = "1")]
     pub payload: String,
 }
 
-/// News of a member.
+/// A gossip update about a member.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ItemMessage {
     /// The member; empty for the sender itself.
     #[prost(string, tag = "1")]
     pub member: String,
-    /// Which of its processes.
+    /// Distinguishes the member's current process from earlier ones.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Greater for later news.
+    /// Increases with each update.
     #[prost(uint64, tag = "3")]
     pub version: u64,
-    /// What the news is.
+    /// The updated value.
     #[prost(oneof = "ItemBody", tags = "4, 5, 6, 7")]
     pub body: Option<ItemBody>,
 }
 
-/// What the news of a member is.
+/// The value in a gossip update.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum ItemBody {
-    /// Where it runs.
+    /// The member's location, state and addresses.
     #[prost(message, tag = "4")]
     Presence(PresenceMessage),
-    /// The offset of the next entry that it will apply.
+    /// The offset of the next entry that the member will apply.
     #[prost(uint64, tag = "5")]
     Progress(u64),
-    /// Its work at an endpoint.
+    /// The member's outstanding work at an endpoint.
     #[prost(message, tag = "6")]
     Load(LoadMessage),
-    /// Its work for an organisation.
+    /// The work that the member has served for an organisation.
     #[prost(message, tag = "7")]
     Share(ShareMessage),
 }
 
-/// Where a member runs.
+/// Location, state and addresses of a member.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PresenceMessage {
-    /// Its failure domain.
+    /// The failure domain in which the member runs.
     #[prost(string, tag = "1")]
     pub failure_domain: String,
-    /// Whether it is a controller.
+    /// Whether the member is a controller; otherwise it is an entry.
     #[prost(bool, tag = "2")]
     pub controller: bool,
-    /// Whether it is leaving.
+    /// Whether the member is leaving; otherwise it is live.
     #[prost(bool, tag = "3")]
     pub leaving: bool,
-    /// Where it answers HTTP.
+    /// The address on which the member serves HTTP.
     #[prost(string, tag = "4")]
     pub http_address: String,
-    /// Where it takes peer connections.
+    /// The address on which the member accepts peer connections.
     #[prost(string, tag = "5")]
     pub peer_address: String,
 }
 
-/// Work at an endpoint.
+/// Outstanding work of a member at an endpoint.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LoadMessage {
-    /// The endpoint.
+    /// The endpoint id.
     #[prost(string, tag = "1")]
     pub endpoint: String,
-    /// Requests outstanding.
+    /// Number of outstanding requests.
     #[prost(uint64, tag = "2")]
     pub requests: u64,
-    /// Tokens outstanding.
+    /// Number of outstanding tokens.
     #[prost(uint64, tag = "3")]
     pub tokens: u64,
 }
 
-/// Work for an organisation.
+/// Work that a member has served for an organisation.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ShareMessage {
-    /// The organisation.
+    /// The organisation id.
     #[prost(string, tag = "1")]
     pub organisation: String,
-    /// The cost served.
+    /// The cost of the served work.
     #[prost(uint64, tag = "2")]
     pub cost: u64,
 }
 
 impl HeartbeatMessage {
-    /// The sender's knowledge age as a span.
+    /// The sender's freshness as a time span.
     pub fn age(&self) -> Option<TimeSpan> {
         self.freshness.map(TimeSpan::from_millis)
     }
 
-    /// The echoed stamp on the clock that started at `started`.
+    /// The time of the echoed stamp on this process's clock; `started` is the time
+    /// at which the process started.
     pub fn echoed(&self, started: ClockTime) -> Option<ClockTime> {
         self.echo.map(|echo| started + TimeSpan::from_millis(echo))
     }
 }
 
 impl EntryMessage {
-    /// The message for `entry`.
+    /// Converts a log entry to a message.
     pub fn new(entry: &RawEntry) -> EntryMessage {
         EntryMessage {
             offset: entry.offset.number(),
@@ -245,7 +247,7 @@
         }
     }
 
-    /// The entry, if its writer can be read.
+    /// Converts the message to a log entry; none if the writer id is invalid.
     pub fn into_entry(self) -> Option<RawEntry> {
         Some(RawEntry {
             offset: LogOffset::new(self.offset),
@@ -257,7 +259,7 @@
 }
 
 impl ItemMessage {
-    /// The message for `item`, sent by `sender`.
+    /// Converts a gossip item to a message sent by `sender`.
     pub fn new(sender: &InstanceId, item: &GossipItem) -> ItemMessage {
         let body = match &item.body {
             GossipBody::Presence(presence) => ItemBody::Presence(PresenceMessage {
@@ -290,7 +292,8 @@
         }
     }
 
-    /// The item, if all of it can be read.
+    /// Converts a message from `sender` to a gossip item; none if an id is invalid or
+    /// the kind of the update is unknown to this version.
     pub fn into_item(self, sender: &InstanceId) -> Option<GossipItem> {
         let member = match self.member.is_empty() {
             true => sender.clone(),
--- a/crates/node/src/restore.rs
+++ b/crates/node/src/restore.rs
@@ -1,10 +1,10 @@
-//! Starting where the log no longer keeps what is needed.
+//! Restores the view when the log no longer holds the next entry needed.
 //!
-//! A process that is new, or was frozen for longer than the log keeps records,
-//! finds that the next entry it needs is gone. Reading on from the oldest that
-//! is kept would silently lose publishes, withdrawals and claims. It restores
-//! the newest complete checkpoint of the log instead, or takes the state of a
-//! peer that is further; with neither it stays not ready and says so.
+//! This happens to a new process and to one that was suspended for longer than
+//! the log's retention. Continuing from the oldest entry that is still kept would
+//! silently lose publishes, withdrawals and claims. The node restores the newest
+//! complete checkpoint in the log instead, or requests the state of a peer that is
+//! ahead. If it can get neither, it stays not ready and reports why.
 
 use bluebell_core::{
     checkpoint::{AssembledCheckpoint, CheckpointReader},
@@ -21,10 +21,11 @@
     handle::NodeHandle,
 };
 
-/// The pause before another try when nothing could be restored.
+/// The delay before the next attempt when nothing could be restored.
 const RETRY_DELAY: TimeSpan = TimeSpan::from_millis(500);
 
-/// Restores the view of `node`, whose next entry the log no longer keeps.
+/// Restores the view of `node` when the log starts at `first_kept`, after the next
+/// entry that the node needs.
 pub(crate) async fn restore(node: &NodeHandle, client: &PlatformClient, first_kept: LogOffset) {
     let next = node.progress().next;
     LogLine::new("log_gap")
@@ -50,12 +51,13 @@
     }
     node.pull_snapshot();
     node.note_obstacle(format!(
-        "the log keeps entries from {first_kept} on, {next} is needed, and neither a complete checkpoint nor a peer that is further is in reach"
+        "the log keeps entries from offset {first_kept} on, offset {next} is needed, and neither a complete checkpoint nor a peer that is ahead is available"
     ));
     tokio::time::sleep(RETRY_DELAY.as_duration()).await;
 }
 
-/// Reads all that the log keeps, for the newest checkpoint that can be read on from.
+/// Reads the whole log and returns the newest complete checkpoint from which the
+/// log can be followed without a gap.
 async fn newest_checkpoint(
     client: &PlatformClient,
     first_kept: LogOffset,
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node: who it is, where the platform is, how patient it is.
+//! Settings of a node: its identity, its addresses and its time-outs.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -13,25 +13,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// This process.
+    /// The id of this instance.
     pub instance: InstanceId,
-    /// Where it runs.
+    /// The failure domain in which the instance runs.
     pub failure_domain: FailureDomain,
-    /// The region of its failure domain.
+    /// The region of the failure domain.
     pub region: RegionId,
-    /// The platform, as `ip:port`.
+    /// The address of the platform, as `ip:port`.
     pub platform: String,
-    /// Where it takes HTTP; port 0 takes any.
+    /// The address to serve HTTP on; port 0 selects a free port.
     pub http_address: SocketAddr,
-    /// Where it takes peer connections; port 0 takes any.
+    /// The address to accept peer connections on; port 0 selects a free port.
     pub peer_address: SocketAddr,
-    /// What it tells others as its peer address, if that differs.
+    /// The peer address announced to other instances, if it differs from the bound
+    /// address.
     #[serde(default)]
     pub peer_advertise: Option<SocketAddr>,
-    /// How long one read of the log waits for an entry.
+    /// How long one read of the log waits for an entry (long poll); at most 30 s.
     #[serde(default = "default_read_wait")]
     pub read_wait: TimeSpan,
-    /// How long an append may take, repeats included.
+    /// Time-out of an append, retries included.
     #[serde(default = "default_append_timeout")]
     pub append_timeout: TimeSpan,
 }
@@ -45,7 +46,7 @@
 }
 
 impl NodeSettings {
-    /// Settings with default patience that listen on any port of loopback.
+    /// Creates settings with default time-outs that listen on free loopback ports.
     pub fn new(
         instance: InstanceId,
         failure_domain: FailureDomain,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// All that can't be used.
+    /// Returns a problem for each invalid setting.
     pub fn problems(&self) -> Vec<SettingProblem> {
         let mut problems = Vec::new();
         if self.platform.parse::<SocketAddr>().is_err() {
--- a/crates/node/src/urgent_records.rs
+++ b/crates/node/src/urgent_records.rs
@@ -1,17 +1,17 @@
-//! Records that can't wait for the log, passed on by all to all.
+//! Urgent records: sent to all peers at once, without waiting for the log.
 //!
-//! Withdrawals, quarantines and marks are told to peers at once. Each process
-//! passes on what it has not seen before, so a note reaches everyone that any
-//! path leads to, and ends.
+//! Withdrawals, quarantines and drain marks are flooded over the peer connections.
+//! Each process forwards only records that it has not seen before, so a record
+//! reaches every instance that is reachable over any path, and forwarding ends.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use xxhash_rust::xxh3::xxh3_128;
 
-/// How many notes are remembered, to pass on to new peers and to stop repeats.
+/// Number of records kept, to send to new peers and to drop repeats.
 const MAX_REMEMBERED_RECORDS: usize = 1_024;
 
-/// The notes that this process has seen lately.
+/// The urgent records that this process has seen most recently.
 #[derive(Clone, Debug, Default)]
 pub struct UrgentRecordCache {
     seen: BTreeSet<u128>,
@@ -19,12 +19,12 @@
 }
 
 impl UrgentRecordCache {
-    /// No note seen yet.
+    /// Creates an empty cache.
     pub fn new() -> UrgentRecordCache {
         UrgentRecordCache::default()
     }
 
-    /// Takes a note; answers whether it has not been seen before.
+    /// Adds a record, given as JSON; returns whether it is new.
     pub fn insert(&mut self, payload: &str) -> bool {
         if !self.seen.insert(xxh3_128(payload.as_bytes())) {
             return false;
@@ -38,7 +38,7 @@
         true
     }
 
-    /// The notes to tell a new peer.
+    /// The kept records as JSON, oldest first.
     pub fn recent(&self) -> impl Iterator<Item = &String> {
         self.recent.iter()
     }
--- a/crates/node/src/withdraw.rs
+++ b/crates/node/src/withdraw.rs
@@ -1,9 +1,10 @@
-//! Withdrawals that don't wait for the log.
+//! Key withdrawals that take effect without waiting for the log.
 //!
-//! A withdrawal is monotone: taking it early or twice does no harm. So it takes
-//! effect where an operator's command arrives, is passed on to all peers, and is
-//! appended until it stands in the log. Whoever was told of it appends it too,
-//! later: the process that took it first may be lost before the log is back.
+//! A withdrawal is monotone: applying it early or twice does no harm. It therefore
+//! takes effect at once on the instance that receives the operator's command, is
+//! forwarded to all peers, and is appended repeatedly until it is in the log. Peers
+//! append it as well, later: the instance that received it first may fail before
+//! the log is available again.
 
 use std::collections::BTreeMap;
 
@@ -17,10 +18,11 @@
 
 use crate::handle::{NodeHandle, lock};
 
-/// The time between two tries to append.
+/// The time between two rounds of appending pending withdrawals.
 const APPEND_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
-/// How long those who were told by a peer leave the append to whoever told.
+/// How long a withdrawal received from a peer waits before this node appends it as
+/// well; the sending peer usually has appended it by then.
 const PEER_APPEND_DELAY: TimeSpan = TimeSpan::from_secs(10);
 
 #[derive(Clone, Debug)]
@@ -29,14 +31,14 @@
     due: ClockTime,
 }
 
-/// Withdrawals that are in force here and not yet seen in the log.
+/// Withdrawals that are in force here but not yet seen in the log.
 #[derive(Clone, Debug, Default)]
 pub struct PendingWithdrawals {
     pending: BTreeMap<KeyDigest, PendingWithdrawal>,
 }
 
 impl PendingWithdrawals {
-    /// None pending.
+    /// Creates an empty set.
     pub fn new() -> PendingWithdrawals {
         PendingWithdrawals::default()
     }
@@ -50,7 +52,7 @@
         self.pending.entry(digest).or_insert(pending);
     }
 
-    /// Notes that the withdrawal stands in the log.
+    /// Removes a withdrawal that has been applied from the log.
     pub fn settle(&mut self, digest: &KeyDigest) {
         self.pending.remove(digest);
     }
@@ -60,22 +62,23 @@
         due.map(|pending| pending.record.clone()).collect()
     }
 
-    /// All that are pending.
+    /// All pending withdrawals.
     pub fn records(&self) -> impl Iterator<Item = &WithdrawRecord> {
         self.pending.values().map(|pending| &pending.record)
     }
 }
 
 impl NodeHandle {
-    /// Takes a withdrawal from an operator: it is in force here when this
-    /// returns, is passed on to peers at once, and is appended until it stands.
+    /// Applies a withdrawal requested by an operator: it is in force on this
+    /// instance when this returns, is sent to peers at once, and is appended until
+    /// it is in the log.
     pub fn withdraw(&self, withdrawal: &WithdrawRecord) {
         let now = self.state.clock.now();
         self.apply_withdrawal(withdrawal, now);
         self.broadcast_urgent_record(&LogRecord::Withdraw(withdrawal.clone()));
     }
 
-    /// Takes a withdrawal that a peer has passed on.
+    /// Applies a withdrawal received from the peer `from`.
     pub(crate) fn apply_peer_withdrawal(&self, withdrawal: &WithdrawRecord, from: &InstanceId) {
         let now = self.state.clock.now();
         LogLine::new("key_withdrawn_by_peer")
@@ -92,7 +95,7 @@
     }
 }
 
-/// Appends pending withdrawals until each stands in the log.
+/// Appends pending withdrawals until each is in the log, or `token` is cancelled.
 pub async fn run(node: NodeHandle, token: CancellationToken) {
     loop {
         tokio::select! {
--- a/crates/node/tests/events.rs
+++ b/crates/node/tests/events.rs
@@ -1,4 +1,4 @@
-//! What a subscriber may rely on.
+//! Ordering of events and progress, as seen by a subscriber.
 
 use bluebell_core::{
     clock::{ClockSource, TimeSpan},
@@ -9,7 +9,8 @@
 use bluebell_node::{NodeHandle, NodeSettings};
 use tokio_util::sync::CancellationToken;
 
-/// Enough that a missed event shows in every run seen without the protection.
+/// Enough rounds to hit the race reliably: without the ordering that the test
+/// checks, an event was missed in every run.
 const ROUNDS: u64 = 20_000;
 
 fn node(token: &CancellationToken) -> NodeHandle {
@@ -35,9 +36,9 @@
     }
 }
 
-/// An operator publishes and waits until the record is read back. If the wait
-/// ended before the outcome was told, the command would say that it does not
-/// know whether the publish is in force although it is.
+/// A publish command waits until its record has been applied and then looks for
+/// the event with the outcome. If the wait could end before the event is sent, the
+/// command would report an unknown outcome for a publish that is in force.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_event_of_an_entry_is_sent_before_a_wait_for_the_entry_ends() {
     let token = CancellationToken::new();
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Nodes that find each other, over real sockets on loopback.
+//! Peer connections between nodes, over real sockets on loopback.
 
 mod support;
 
@@ -37,8 +37,8 @@
     }
 }
 
-/// Entries that don't know of each other's work send all of it to the same
-/// endpoint and serve one organisation several times its share.
+/// Without the load reported by their peers, entries would all send their work to
+/// the same endpoint and serve one organisation several times its share.
 #[tokio::test(flavor = "multi_thread")]
 async fn instances_report_their_load_to_all_peers_across_failure_domains() {
     let platform = TestPlatform::start(10_000).await;
@@ -54,7 +54,7 @@
             .any(|peer| peer.instance.as_str() == "a" && peer.status == status(InstanceState::Live))
     };
     for node in &nodes[1..] {
-        wait_until("the work of `a`", || has_status(node)).await;
+        wait_until("the load of `a`", || has_status(node)).await;
     }
     nodes[0].node.set_local(status(InstanceState::Leaving));
     let leaving = |node: &support::TestNode| {
@@ -68,8 +68,8 @@
     }
 }
 
-/// A failure domain's way to the platform is cut for some of its instances. They
-/// take the log from those that still read it, and stay fresh.
+/// A failure domain is partitioned from the platform. Its instance must follow the
+/// log through peers that still read it, and keep confirming the log's end.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_without_the_platform_follows_the_log_through_its_peers() {
     let platform = TestPlatform::start(10_000).await;
@@ -79,29 +79,31 @@
     for node in [&a, &b, &c] {
         assert!(node.node.wait_caught_up(WAIT_TIMEOUT).await);
     }
-    wait_until("links of `c`", || c.has_peer(&a) || c.has_peer(&b)).await;
-    wait_until("link of `a` and `b`", || a.has_peer(&b)).await;
+    wait_until("a connection of `c`", || c.has_peer(&a) || c.has_peer(&b)).await;
+    wait_until("a connection between `a` and `b`", || a.has_peer(&b)).await;
     let mut faults = PlatformFaults::default();
     faults
         .cut_domains
         .insert(FailureDomain::new("y").expect("valid"));
     platform.set(faults).await;
-    let cut_at = c.node.clock().now();
-    // A read that was under way when the path was cut may still bring the first.
+    let partitioned_at = c.node.clock().now();
+    // A read in flight at the time of the partition may still return the first entry.
     let first = a.publish(organisation("one", None, 5)).await;
     assert!(c.node.wait_applied(first, WAIT_TIMEOUT).await);
     let second = a.publish(organisation("one", Some(first), 6)).await;
     assert!(c.node.wait_applied(second, WAIT_TIMEOUT).await);
     assert_eq!(c.weight("one"), Some(6));
-    wait_until("knowledge from after the cut", || {
+    wait_until("the log's end confirmed after the partition", || {
         let now = c.node.clock().now();
-        c.node.freshness().is_some_and(|age| now - age > cut_at)
+        c.node
+            .freshness()
+            .is_some_and(|age| now - age > partitioned_at)
     })
     .await;
 }
 
-/// All but a few instances of a failure domain leave the log to those few. When
-/// one of the few is gone the others must take over without anybody asking.
+/// Two instances of a failure domain read the log and relay it to the others. When
+/// one of the two stops, another one must start to read the log.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_instances_of_a_failure_domain_read_the_log_for_all() {
     let platform = TestPlatform::start(10_000).await;
@@ -119,7 +121,7 @@
         assert!(node.node.wait_applied(offset, WAIT_TIMEOUT).await);
     }
     let reader = nodes.iter().position(|node| node.node.report().reads_log);
-    drop(nodes.remove(reader.expect("two read")));
+    drop(nodes.remove(reader.expect("there are two readers")));
     wait_until("two readers again", || readers(&nodes) == 2).await;
     let base = Some(offset);
     let offset = nodes[0].publish(organisation("one", base, 6)).await;
@@ -129,19 +131,19 @@
     }
 }
 
-/// An instance dies right after its start, when the platform's list has it already
-/// but not all of its failure domain have reached it. Those who never did must not
-/// take it for one of the two that read the log, or only one is left that does.
+/// An instance crashes right after its start, when it is on the platform's list but
+/// not all instances of its failure domain have connected to it. Those that never
+/// did must not count it as one of the two readers, or only one reader is left.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_that_no_peer_reached_is_not_counted_as_a_reader() {
     let platform = TestPlatform::start(10_000).await;
     let names = ["a", "b", "c"];
-    let lost = (0..).map(|n| format!("lost-{n}"));
-    let lost = lost
+    let crashed = (0..).map(|n| format!("lost-{n}"));
+    let crashed = crashed
         .map(|name| plan_member(&name, "x"))
-        .find(|lost| {
+        .find(|crashed| {
             let others = names.map(|name| plan_member(name, "x"));
-            LinkPlan::new(lost, &others).is_reader
+            LinkPlan::new(crashed, &others).is_reader
         })
         .expect("some name comes first");
     let mut nodes = Vec::new();
@@ -152,32 +154,32 @@
     let address = unused.local_addr().expect("bound").to_string();
     drop(unused);
     let listing = InstanceListing {
-        instance: lost.instance.clone(),
-        failure_domain: lost.failure_domain,
+        instance: crashed.instance.clone(),
+        failure_domain: crashed.failure_domain,
         program: InstanceProgram::Entry,
         state: InstanceState::Live,
         http_address: address.clone(),
         peer_address: address,
     };
     let received = nodes[0].node.platform().announce(&listing).await;
-    received.expect("the list takes it");
+    received.expect("the platform accepts the listing");
     for node in &nodes {
         let is_listed = || {
             let peers = node.node.peers();
-            peers.iter().any(|peer| peer.instance == lost.instance)
+            peers.iter().any(|peer| peer.instance == crashed.instance)
         };
-        wait_until("the lost one's listing", is_listed).await;
+        wait_until("the listing of the crashed instance", is_listed).await;
     }
     let reads = |node: &&support::TestNode| node.node.report().reads_log;
-    wait_until("two readers among the living", || {
+    wait_until("two readers among the running instances", || {
         nodes.iter().filter(reads).count() == 2
     })
     .await;
 }
 
-/// A key is stolen while the log is down. Its withdrawal reaches every instance
-/// all the same, ends the key's work there, and stands in the log once that is
-/// back, also if the instance that took it has been lost meanwhile.
+/// A stolen key is withdrawn while the log is down. The withdrawal must reach every
+/// instance, make it reject the key, and be in the log once the log is available
+/// again, even if the instance that received it first has stopped meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_withdrawal_reaches_all_instances_while_the_log_is_down() {
     let platform = TestPlatform::start(10_000).await;
@@ -189,7 +191,7 @@
         assert!(node.node.wait_applied(offset, WAIT_TIMEOUT).await);
         assert!(node.accepts_key("secret"));
     }
-    wait_until("links", || {
+    wait_until("connections", || {
         a.has_peer(&b) && (c.has_peer(&a) || c.has_peer(&b))
     })
     .await;
@@ -216,14 +218,17 @@
     .await;
 }
 
-/// A request that crashes engines is sent again to another entry while the log
-/// is down; that entry must have heard of it.
+/// A request that crashes engines is retried at another entry while the log is
+/// down; that entry must have received the quarantine record.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_urgent_record_reaches_peers_without_the_log() {
     let platform = TestPlatform::start(10_000).await;
     let a = platform.join("a", "x").await;
     let b = platform.join("b", "y").await;
-    wait_until("a link", || a.has_peer(&b) && b.has_peer(&a)).await;
+    wait_until("a connection between `a` and `b`", || {
+        a.has_peer(&b) && b.has_peer(&a)
+    })
+    .await;
     platform.log_down().await;
     let mut urgent_records = b.node.subscribe_urgent_records();
     let one = OrganisationId::new("one").expect("valid");
@@ -236,12 +241,15 @@
     });
     a.node.broadcast_urgent_record(&record);
     let received = tokio::time::timeout(WAIT_TIMEOUT.as_duration(), urgent_records.recv()).await;
-    assert_eq!(received.expect("told in time").expect("told"), record);
+    assert_eq!(
+        received.expect("received in time").expect("received"),
+        record
+    );
 }
 
-/// Something between two instances loses track of their connection: it stays
-/// open at both ends and carries nothing any more, while new ones would work.
-/// Without a limit on silence, the two would never hear of each other again.
+/// A connection between two instances stalls: it stays open at both ends but
+/// carries no more data, while new connections work. Without a time-out, the two
+/// would never exchange messages again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stalled_connection_is_replaced_by_a_new_one() {
     let platform = TestPlatform::start(10_000).await;
@@ -251,16 +259,19 @@
     let a = platform.join("a", "x").await;
     let b = platform.join_with(settings).await;
     proxy.set_target(b.peer_address);
-    wait_until("a link", || a.has_peer(&b) && b.has_peer(&a)).await;
+    wait_until("a connection between `a` and `b`", || {
+        a.has_peer(&b) && b.has_peer(&a)
+    })
+    .await;
     let before = a.node.link_number(b.name());
     proxy.stall_connections();
-    wait_until("another link", || {
+    wait_until("another connection", || {
         let now = a.node.link_number(b.name());
         now.is_some() && now != before
     })
     .await;
     a.node.set_local(status(InstanceState::Live));
-    wait_until("news over the new link", || {
+    wait_until("an update over the new connection", || {
         let peers = b.node.peers();
         peers
             .iter()
@@ -269,42 +280,46 @@
     .await;
 }
 
-/// A failure domain is cut off from the platform and from its peers while a key
-/// is withdrawn elsewhere. It can't know; it must know that it can't.
+/// An instance is partitioned from the platform and has no peers while a key is
+/// withdrawn at another instance. It can't receive the withdrawal, so the age that
+/// it reports must show that its view may lack it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_partitioned_instance_reports_the_age_of_its_view() {
     let platform = TestPlatform::start(10_000).await;
     let a = platform.join("a", "x").await;
-    let alone = platform.follow("alone");
+    let isolated = platform.follow("alone");
     let offset = a.publish(key("k", "secret")).await;
-    assert!(alone.node.wait_applied(offset, WAIT_TIMEOUT).await);
+    assert!(isolated.node.wait_applied(offset, WAIT_TIMEOUT).await);
     let mut faults = PlatformFaults::default();
-    faults.cut_instances.insert(alone.name().clone());
+    faults.cut_instances.insert(isolated.name().clone());
     platform.set(faults).await;
-    // The read that was under way when the path was cut has ended once two more
-    // have begun.
-    let reads = alone.node.log_reads();
-    wait_until("refused reads", || alone.node.log_reads() >= reads + 2).await;
-    let withdrawn_at = alone.node.clock().now();
+    // Once two more reads have started, the read in flight at the time of the
+    // partition has ended.
+    let reads = isolated.node.log_reads();
+    wait_until("refused reads", || isolated.node.log_reads() >= reads + 2).await;
+    let withdrawn_at = isolated.node.clock().now();
     a.node.withdraw(&withdrawal("secret"));
     let bound = TimeSpan::from_secs(1);
-    let reads = alone.node.log_reads();
-    wait_until("refused reads after it", || {
-        alone.node.log_reads() >= reads + 3
+    let reads = isolated.node.log_reads();
+    wait_until("refused reads after the withdrawal", || {
+        isolated.node.log_reads() >= reads + 3
     })
     .await;
-    wait_until("old knowledge", || {
-        alone.node.freshness().is_some_and(|age| age > bound)
+    wait_until("a freshness above 1 s", || {
+        isolated.node.freshness().is_some_and(|age| age > bound)
     })
     .await;
-    let age = alone.node.freshness().expect("it knew the log once");
-    assert!(alone.node.clock().now() - age <= withdrawn_at);
-    assert!(alone.accepts_key("secret"));
+    let age = isolated
+        .node
+        .freshness()
+        .expect("the log's end was confirmed once");
+    assert!(isolated.node.clock().now() - age <= withdrawn_at);
+    assert!(isolated.accepts_key("secret"));
     platform.heal().await;
-    wait_until("the withdrawal", || !alone.accepts_key("secret")).await;
-    wait_until("fresh knowledge", || {
-        let now = alone.node.clock().now();
-        let age = alone.node.freshness();
+    wait_until("the withdrawal", || !isolated.accepts_key("secret")).await;
+    wait_until("the log's end confirmed after the withdrawal", || {
+        let now = isolated.node.clock().now();
+        let age = isolated.node.freshness();
         age.is_some_and(|age| now - age > withdrawn_at)
     })
     .await;
--- a/crates/node/tests/restore.rs
+++ b/crates/node/tests/restore.rs
@@ -1,4 +1,4 @@
-//! Starting with and without the log, and where the log has forgotten.
+//! Starting with and without the log, and after the log has dropped older records.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use standin_platform::faults::{EffectCall, LossKind, LostAnswers, PlatformFaults};
 use support::{TestNode, TestPlatform, WAIT_TIMEOUT, key, organisation, wait_until, withdrawal};
 
-/// Makes the log forget everything up to now.
+/// Appends `records` filler records, so that the log drops older ones.
 async fn append_fillers(node: &TestNode, records: usize) {
     for _ in 0..records {
         let record = LogRecord::Withdraw(withdrawal("some other key"));
@@ -44,9 +44,9 @@
     schedule.is_due(node.node.clock().now(), next, kept, newest)
 }
 
-/// Everything is restarted at once after the log has forgotten the publishes: the
-/// configuration must come back as it was last accepted, and an operator whose
-/// files are older must not be able to undo it.
+/// All instances restart at once after the log has dropped the publishes. The
+/// configuration must be restored as last accepted, and a publish that is based on
+/// an older version must not revert it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restart_of_all_instances_after_retention_reverts_nothing() {
     let platform = TestPlatform::start(30).await;
@@ -74,9 +74,9 @@
     assert_eq!(after.weight("one"), Some(3));
 }
 
-/// The log has forgotten and holds no checkpoint. Reading on from the oldest entry
-/// would give a process without services, keys and claims that believes itself
-/// up to date; it stays not ready and says why.
+/// The log has dropped older records and holds no checkpoint. Continuing from the
+/// oldest entry would leave a process without services, keys and claims that
+/// reports itself up to date; it must stay not ready and report why.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_gap_that_nothing_closes_is_reported_and_not_skipped() {
     let platform = TestPlatform::start(10).await;
@@ -84,7 +84,7 @@
     before.publish(organisation("one", None, 1)).await;
     append_fillers(&before, 20).await;
     let after = platform.join("after", "x").await;
-    wait_until("the obstacle", || {
+    wait_until("the reported obstacle", || {
         let obstacle = after.node.obstacle();
         obstacle.is_some_and(|obstacle| obstacle.contains("neither a complete checkpoint"))
     })
@@ -93,8 +93,9 @@
     assert_eq!(after.node.progress().next, LogOffset::START);
 }
 
-/// As before, but another instance still runs. It has itself started from a
-/// checkpoint, so it can't relay what came before; a new one takes its state over.
+/// The log has dropped older records, but another instance still runs. It started
+/// from a checkpoint and can't relay earlier entries; a new instance must restore
+/// the snapshot of its state instead.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_gap_is_closed_by_the_state_of_a_peer() {
     let platform = TestPlatform::start(30).await;
@@ -112,8 +113,9 @@
     assert_eq!(after.weight("one"), Some(7));
 }
 
-/// An instance is replaced while the log is down. With peers that have read it
-/// the new one serves; with none it would not know what is withdrawn or claimed.
+/// An instance is replaced while the log is down. If a peer has caught up with the
+/// log, the new instance must become ready from it. Without such a peer it would
+/// have no record of withdrawn keys and of claims.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_new_instance_starts_from_peers_while_the_log_is_down() {
     let platform = TestPlatform::start(10_000).await;
@@ -127,22 +129,25 @@
     assert_eq!(after.node.progress().next, before.node.progress().next);
 }
 
-/// Every instance was lost while the log is down: nobody may serve.
+/// All instances are lost while the log is down: no new instance may become ready.
 #[tokio::test(flavor = "multi_thread")]
 async fn without_the_log_and_without_a_ready_peer_no_instance_is_ready() {
     let platform = TestPlatform::start(10_000).await;
     platform.log_down().await;
     let a = platform.join("a", "x").await;
     let b = platform.join("b", "x").await;
-    wait_until("a link", || a.has_peer(&b) && b.has_peer(&a)).await;
+    wait_until("a connection between `a` and `b`", || {
+        a.has_peer(&b) && b.has_peer(&a)
+    })
+    .await;
     for node in [&a, &b] {
-        wait_until("the obstacle", || {
+        wait_until("the reported obstacle", || {
             let obstacle = node.node.obstacle();
             obstacle.is_some_and(|obstacle| obstacle.contains("no peer that is ready"))
         })
         .await;
         let gathered = node.node.clock().now() + TimeSpan::from_secs(3);
-        wait_until("time to gather peers", || {
+        wait_until("3 s for peers to connect", || {
             node.node.clock().now() > gathered
         })
         .await;
@@ -152,8 +157,9 @@
     assert!(a.node.wait_caught_up(WAIT_TIMEOUT).await);
 }
 
-/// The answer to an append is lost and the record is sent again. Whoever goes by
-/// the second copy's offset believes in a fencing number that no reader knows.
+/// The response to an append is lost and the record is sent again. A caller that
+/// used the offset of the second copy would hold a fencing number that no instance
+/// accepts, because they all apply the first copy.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_duplicated_append_reports_the_offset_of_its_first_copy() {
     let platform = TestPlatform::start(10_000).await;
@@ -180,7 +186,8 @@
     assert!(node.node.progress().next > offset.next());
 }
 
-/// The log refuses for longer than an append may take: it is told as not done.
+/// The log refuses appends for longer than the append time-out: the append must be
+/// reported as having had no effect.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_append_that_was_always_refused_is_reported_as_not_appended() {
     let platform = TestPlatform::start(10_000).await;
@@ -191,8 +198,8 @@
     assert!(matches!(error, AppendError::NotAppended(_)), "{error}");
 }
 
-/// Nothing but withdrawals is appended for long. A checkpoint must be written
-/// again and again, or the one organisation would be forgotten.
+/// Only withdrawals are appended for a long time. Checkpoints must be written
+/// repeatedly, or the organisation would be lost once the log drops its record.
 #[tokio::test(flavor = "multi_thread")]
 async fn checkpoints_are_written_before_the_log_drops_older_records() {
     let platform = TestPlatform::start(40).await;
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A platform stand-in and nodes on loopback.
+//! A stand-in of the platform and nodes, on loopback.
 
 #![allow(dead_code)]
 
@@ -19,8 +19,8 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// How long a test waits for an event before it fails. No verdict depends on
-/// how much of it passes.
+/// How long a test waits for a condition before it fails. Only the failure of a
+/// test depends on this time.
 pub const WAIT_TIMEOUT: TimeSpan = TimeSpan::from_secs(60);
 
 pub struct TestPlatform {
@@ -49,7 +49,7 @@
         let answer = self.http.post(url).json(&faults).send().await;
         answer
             .and_then(|answer| answer.error_for_status())
-            .expect("the stand-in takes faults");
+            .expect("the stand-in accepts the faults");
     }
 
     pub async fn log_down(&self) {
@@ -184,7 +184,7 @@
     }
 }
 
-/// Waits until `holds` does; fails after [`WAIT_TIMEOUT`].
+/// Waits until `holds` returns true; fails after [`WAIT_TIMEOUT`].
 #[track_caller]
 pub fn wait_until<Holds>(what: &str, holds: Holds) -> impl Future<Output = ()>
 where
@@ -199,12 +199,15 @@
             }
         };
         let waited = tokio::time::timeout(WAIT_TIMEOUT.as_duration(), waiting).await;
-        assert!(waited.is_ok(), "{place}: not seen: {what}");
+        assert!(
+            waited.is_ok(),
+            "{place}: not seen within {WAIT_TIMEOUT}: {what}"
+        );
     }
 }
 
-/// A path between two instances that can lose track of the connections it
-/// carries: they stay open and carry nothing, while new ones work.
+/// A TCP proxy between two instances that can stall the connections it forwards:
+/// they stay open but carry no more data, while new connections work.
 pub struct StallingProxy {
     pub address: SocketAddr,
     target: std::sync::Arc<std::sync::Mutex<Option<SocketAddr>>>,
@@ -223,7 +226,9 @@
         let (target, generation) = (proxy.target.clone(), proxy.generation.clone());
         tokio::spawn(async move {
             while let Ok((inner, _)) = listener.accept().await {
-                let target = *target.lock().expect("no holder panics");
+                let target = *target
+                    .lock()
+                    .expect("no thread panics while it holds the lock");
                 let Some(target) = target else { continue };
                 let Ok(outer) = tokio::net::TcpStream::connect(target).await else {
                     continue;
@@ -235,7 +240,10 @@
     }
 
     pub fn set_target(&self, target: SocketAddr) {
-        *self.target.lock().expect("no holder panics") = Some(target);
+        *self
+            .target
+            .lock()
+            .expect("no thread panics while it holds the lock") = Some(target);
     }
 
     pub fn stall_connections(&self) {
@@ -248,12 +256,12 @@
     mut outer: tokio::net::TcpStream,
     mut generation: tokio::sync::watch::Receiver<u64>,
 ) {
-    let lost = tokio::select! {
+    let stalled = tokio::select! {
         _ = tokio::io::copy_bidirectional(&mut inner, &mut outer) => false,
         _ = generation.changed() => true,
     };
-    if lost {
-        // Both ends stay open and hear nothing.
+    if stalled {
+        // Keeps both connections open without forwarding data.
         std::future::pending::<()>().await;
     }
 }
