--- a/crates/core/src/checkpoint/reader.rs
+++ b/crates/core/src/checkpoint/reader.rs
@@ -1,4 +1,4 @@
-//! Reading checkpoints: which is the newest that is complete.
+//! Reads checkpoints and finds the newest complete one.
 
 use std::collections::BTreeMap;
 
@@ -10,58 +10,59 @@
     records::{CheckpointItem, CheckpointPart},
 };
 
-/// How many checkpoints may be incomplete at a time; older ones are given up,
-/// such as that of a holder that was killed between two parts.
-const OPEN_LIMIT: usize = 4;
+/// Maximum number of incomplete checkpoints. Older ones are dropped, such as that of a
+/// holder that was killed between two parts.
+const MAX_INCOMPLETE: usize = 4;
 
 /// A checkpoint of which all parts have been read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct CompleteCheckpoint {
-    /// The state is that after everything up to and with this offset.
+    /// The offset of the last log entry that the state includes.
     pub as_of: LogOffset,
-    /// Where its last part stands.
+    /// The offset of the last part.
     pub last_part: LogOffset,
-    /// How many parts it has.
+    /// The number of parts.
     pub parts: u32,
-    /// When it was complete, on the reader's clock.
+    /// When the last part was read, on the reader's clock.
     pub read_at: ClockTime,
 }
 
 /// A complete checkpoint with its items.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AssembledCheckpoint {
-    /// The state is that after everything up to and with this offset.
+    /// The offset of the last log entry that the state includes.
     pub as_of: LogOffset,
-    /// The items.
+    /// The items of all parts, in order.
     pub items: Vec<CheckpointItem>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-struct OpenCheckpoint {
+struct IncompleteCheckpoint {
     parts: u32,
     #[serde(skip)]
     read: BTreeMap<u32, Vec<CheckpointItem>>,
 }
 
-/// The checkpoints in the log, as far as they have been read.
+/// The checkpoints in the part of the log that has been read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct CheckpointReader {
     #[serde(skip)]
     keeps_items: bool,
     #[serde(skip)]
-    open: BTreeMap<(LogOffset, LogOffset), OpenCheckpoint>,
+    open: BTreeMap<(LogOffset, LogOffset), IncompleteCheckpoint>,
     newest: Option<CompleteCheckpoint>,
     #[serde(skip)]
     assembled: Option<AssembledCheckpoint>,
 }
 
 impl CheckpointReader {
-    /// A reader that notes which checkpoints are complete.
+    /// Creates a reader that detects complete checkpoints without keeping their items.
     pub fn new() -> CheckpointReader {
         CheckpointReader::default()
     }
 
-    /// A reader that also keeps the items of the newest, to restore from.
+    /// Creates a reader that also keeps the items of the newest complete checkpoint, to
+    /// restore a view from.
     pub fn with_items() -> CheckpointReader {
         CheckpointReader {
             keeps_items: true,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Applies a part read at `offset` at the reader's time `now`.
+    /// Applies a part read at `offset` at the time `now` of the reader's clock.
     pub fn apply(&mut self, now: ClockTime, offset: LogOffset, part: &CheckpointPart) {
         let newest = self.newest.map(|newest| newest.as_of);
         let outdated = newest.is_some_and(|newest| part.as_of <= newest);
@@ -77,28 +78,31 @@
             return;
         }
         let key = (part.as_of, part.fence);
-        let open = self.open.entry(key).or_insert_with(|| OpenCheckpoint {
-            parts: part.parts,
-            read: BTreeMap::new(),
-        });
-        if open.parts != part.parts {
+        let checkpoint = self
+            .open
+            .entry(key)
+            .or_insert_with(|| IncompleteCheckpoint {
+                parts: part.parts,
+                read: BTreeMap::new(),
+            });
+        if checkpoint.parts != part.parts {
             return;
         }
         let items = match self.keeps_items {
             true => part.items.clone(),
             false => Vec::new(),
         };
-        open.read.insert(part.part, items);
-        if open.read.len() == part.parts as usize {
+        checkpoint.read.insert(part.part, items);
+        if checkpoint.read.len() == part.parts as usize {
             self.complete(now, offset, part);
         }
-        while self.open.len() > OPEN_LIMIT {
+        while self.open.len() > MAX_INCOMPLETE {
             self.open.pop_first();
         }
     }
 
     fn complete(&mut self, now: ClockTime, offset: LogOffset, part: &CheckpointPart) {
-        let Some(done) = self.open.remove(&(part.as_of, part.fence)) else {
+        let Some(completed) = self.open.remove(&(part.as_of, part.fence)) else {
             return;
         };
         self.open.retain(|(as_of, _), _| *as_of > part.as_of);
@@ -111,7 +115,7 @@
         if self.keeps_items {
             self.assembled = Some(AssembledCheckpoint {
                 as_of: part.as_of,
-                items: done.read.into_values().flatten().collect(),
+                items: completed.read.into_values().flatten().collect(),
             });
         }
     }
@@ -121,8 +125,8 @@
         self.newest
     }
 
-    /// The newest complete checkpoint that can be read on from while the log
-    /// keeps everything from `first_kept` on.
+    /// Returns the newest complete checkpoint if the log still keeps the entry after it.
+    /// `first_kept` is the oldest offset that the log keeps.
     pub fn into_usable(self, first_kept: LogOffset) -> Option<AssembledCheckpoint> {
         self.assembled
             .filter(|assembled| assembled.as_of.next() >= first_kept)
--- a/crates/core/src/checkpoint/writer.rs
+++ b/crates/core/src/checkpoint/writer.rs
@@ -1,4 +1,4 @@
-//! Writing checkpoints: when, and in which parts.
+//! Decides when a checkpoint is due and splits it into parts.
 
 use std::collections::VecDeque;
 
@@ -11,19 +11,19 @@
     view::FleetView,
 };
 
-/// About how large a part may be.
+/// The approximate size of a part.
 pub const PART_SIZE: ByteSize = ByteSize::new(48 * 1024);
 
-/// What the log still keeps.
+/// The range of offsets that the log keeps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct KeptRange {
-    /// The oldest offset that is kept.
+    /// The oldest kept offset.
     pub first_kept: LogOffset,
-    /// The offset that the next append will get.
+    /// The offset of the next append.
     pub end: LogOffset,
 }
 
-/// When the next checkpoint is due.
+/// Decides when the next checkpoint is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CheckpointSchedule {
     every_records: u64,
@@ -32,9 +32,9 @@
 }
 
 impl CheckpointSchedule {
-    /// A schedule that starts at `now` and asks for a checkpoint after
-    /// `every_records` records or after `every`, whichever comes first. Both
-    /// must lie well below what the log keeps.
+    /// Creates a schedule that starts at `now` and requires a checkpoint after
+    /// `every_records` records or after the time `every`, whichever is reached first.
+    /// Both must be well below the retention of the log.
     pub fn new(now: ClockTime, every_records: u64, every: TimeSpan) -> CheckpointSchedule {
         CheckpointSchedule {
             every_records,
@@ -43,10 +43,9 @@
         }
     }
 
-    /// Whether a checkpoint is due at `now` for a reader whose next offset is
-    /// `next`. Besides count and time, a newest checkpoint that has come into
-    /// the older half of what the log keeps is due at once: retention may be
-    /// shorter than the settings believe.
+    /// Whether a checkpoint is due at `now` for a reader whose next offset is `next`.
+    /// A checkpoint is also due at once when the newest one lies in the older half of
+    /// the kept range, because retention may be shorter than the settings assume.
     pub fn is_due(
         &self,
         now: ClockTime,
@@ -56,33 +55,33 @@
     ) -> bool {
         let from = newest.map_or(LogOffset::START, |newest| newest.as_of.next());
         let records = next.number().saturating_sub(from.number());
-        let own_parts = newest.map_or(0, |newest| u64::from(newest.parts));
+        let newest_parts = newest.map_or(0, |newest| u64::from(newest.parts));
         if records == 0 {
             return false;
         }
-        if records >= self.every_records.max(own_parts * 2) {
+        if records >= self.every_records.max(newest_parts * 2) {
             return true;
         }
         let read_at = newest.map_or(self.started_at, |newest| newest.read_at);
         if now.since(read_at) >= self.every {
             return true;
         }
-        let forgets = kept.first_kept > LogOffset::START;
+        let has_dropped = kept.first_kept > LogOffset::START;
         let span = kept.end.number().saturating_sub(kept.first_kept.number());
         let middle = kept.first_kept.number() + span / 2;
-        forgets && from.number() < middle && records > own_parts * 2
+        has_dropped && from.number() < middle && records > newest_parts * 2
     }
 }
 
-/// One checkpoint that is being written.
+/// The parts of one checkpoint that are still to be appended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CheckpointWriter {
     parts: VecDeque<CheckpointPart>,
 }
 
 impl CheckpointWriter {
-    /// The checkpoint of `view`, written under the fencing number `fence` in
-    /// parts of about `size`. None for a view of nothing.
+    /// Creates a checkpoint of `view` under the fencing number `fence`, in parts of about
+    /// `size`. Returns `None` if the view has applied no entry.
     pub fn new(fence: LogOffset, view: &FleetView, size: ByteSize) -> Option<CheckpointWriter> {
         let as_of = LogOffset::new(view.next_offset().number().checked_sub(1)?);
         let slices = split(view.checkpoint(), size);
@@ -99,29 +98,29 @@
         })
     }
 
-    /// The next part to append.
+    /// Removes and returns the next part to append.
     pub fn next_part(&mut self) -> Option<CheckpointPart> {
         self.parts.pop_front()
     }
 
-    /// How many parts are left.
+    /// The number of parts that are still to be appended.
     pub fn parts_left(&self) -> usize {
         self.parts.len()
     }
 }
 
-/// Splits `items` into slices of about `size` each as JSON; at least one, so that
-/// the checkpoint of an empty state is complete too.
+/// Splits `items` into slices of about `size` each, measured as JSON. There is at least
+/// one slice, so that the checkpoint of an empty state can be complete.
 fn split(items: Vec<CheckpointItem>, size: ByteSize) -> Vec<Vec<CheckpointItem>> {
     let mut slices = vec![Vec::new()];
-    let mut filled = 0;
+    let mut slice_bytes = 0;
     for item in items {
         let bytes = serde_json::to_string(&item).map_or(0, |text| text.len() as u64);
-        if filled > 0 && filled + bytes > size.count() {
+        if slice_bytes > 0 && slice_bytes + bytes > size.count() {
             slices.push(Vec::new());
-            filled = 0;
+            slice_bytes = 0;
         }
-        filled += bytes;
+        slice_bytes += bytes;
         if let Some(slice) = slices.last_mut() {
             slice.push(item);
         }
--- a/crates/core/src/orders/run.rs
+++ b/crates/core/src/orders/run.rs
@@ -233,9 +233,7 @@
     /// Records an observation of the receiver made at `now`.
     pub fn note_observation(&mut self, now: ClockTime, view: &ObservedEffect) {
         match view {
-            ObservedEffect::Done => {
-                self.outcome = Some((OrderOutcome::Applied, "the order was observed in effect"))
-            }
+            ObservedEffect::Done => self.outcome = Some((OrderOutcome::Applied, "effect observed")),
             ObservedEffect::Conflicting => {
                 let reason = "the receiver has a conflicting effect";
                 self.outcome = Some((OrderOutcome::Refused, reason));
@@ -266,7 +264,7 @@
             return;
         }
         if engine.last_order.as_ref() == Some(&self.order) {
-            self.outcome = Some((OrderOutcome::Applied, "the order was observed in effect"));
+            self.outcome = Some((OrderOutcome::Applied, "effect observed"));
             return;
         }
         // The incarnation that accepted the order has ended, and the new one never
@@ -285,15 +283,9 @@
         self.resume_at = now + self.timing.retry_pause;
         match answer {
             SendAnswer::Accepted | SendAnswer::Unavailable | SendAnswer::Unknown => {}
-            SendAnswer::Done => {
-                self.outcome = Some((OrderOutcome::Applied, "the receiver executed the order"))
-            }
-            SendAnswer::Refused => {
-                self.outcome = Some((OrderOutcome::Refused, "the receiver refused the order"))
-            }
-            SendAnswer::Stale => {
-                self.stop_reason = Some("the receiver has seen a later fencing number")
-            }
+            SendAnswer::Done => self.outcome = Some((OrderOutcome::Applied, "executed")),
+            SendAnswer::Refused => self.outcome = Some((OrderOutcome::Refused, "refused")),
+            SendAnswer::Stale => self.stop_reason = Some("a later fencing number was seen"),
         }
     }
 }
--- a/crates/core/src/records/checkpoint.rs
+++ b/crates/core/src/records/checkpoint.rs
@@ -1,4 +1,5 @@
-//! Live state, written again before the log forgets it.
+//! Checkpoint records: the live state, appended again before the log drops the records
+//! that it came from.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,19 +12,20 @@
     },
 };
 
-/// One part of a checkpoint; it counts only once all parts have been read.
+/// One part of a checkpoint. The checkpoint is valid only once all parts have been
+/// read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CheckpointPart {
-    /// The fencing number of the writer's `log` duty.
+    /// The fencing number under which the writer holds the `log` duty.
     pub fence: LogOffset,
-    /// The state is that after applying everything up to and with this offset.
+    /// The offset of the last log entry that the state includes.
     pub as_of: LogOffset,
-    /// This part's number, from 0.
+    /// The number of this part, starting at 0.
     pub part: u32,
-    /// How many parts there are.
+    /// The number of parts of the checkpoint.
     pub parts: u32,
-    /// A slice of the state.
+    /// The items of this part.
     pub items: Vec<CheckpointItem>,
 }
 
@@ -31,16 +33,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "item", rename_all = "snake_case")]
 pub enum CheckpointItem {
-    /// A unit in force.
+    /// A unit of configuration that is in force, or was removed.
     Unit {
         /// Its name.
         unit: UnitName,
-        /// The offset of the publish that it came with.
+        /// The offset of the record that published it.
         version: LogOffset,
-        /// Who published it.
+        /// The operator who published it.
         #[serde(default)]
         publisher: String,
-        /// Its content; none remembers the version of a removed unit.
+        /// The content; `None` for a removed unit, whose version is kept.
         body: Option<UnitBody>,
     },
     /// A withdrawn key.
@@ -48,13 +50,13 @@
         /// The digest of the key.
         digest: KeyDigest,
     },
-    /// The last record of a writer, to drop second copies.
+    /// The last record of a writer, by which repeated appends are detected.
     Writer {
         /// The writer.
         writer: WriterId,
-        /// The writer's own number for it.
+        /// The sequence number that the writer gave to the record.
         sequence: u64,
-        /// Where it stands.
+        /// The offset of the record.
         offset: LogOffset,
     },
     /// A lease in force.
@@ -67,58 +69,58 @@
         #[serde(default)]
         latest: LogOffset,
     },
-    /// An order that may still have an effect.
+    /// An open order, which may still take effect.
     Intent {
-        /// The order.
+        /// The intent.
         intent: IntentRecord,
-        /// Where it stands.
+        /// The offset of the first intent.
         offset: LogOffset,
     },
-    /// A mark in force.
+    /// A drain mark in force.
     Mark {
-        /// The mark.
+        /// The drain mark.
         mark: DrainMarkRecord,
-        /// Where it stands.
+        /// The offset of the mark.
         #[serde(default)]
         offset: LogOffset,
     },
-    /// A claim with what became of it.
+    /// The claim of an idempotency key, and its settlement.
     Claim {
         /// The claim.
         claim: IdempotencyClaim,
-        /// Where it stands.
+        /// The offset of the claim.
         offset: LogOffset,
-        /// What became of it.
+        /// The settlement, if the result is known.
         settlement: Option<ClaimSettlement>,
     },
     /// A usage window that is not yet reported.
     Window {
-        /// Its figures.
+        /// The usage of the window.
         figures: WindowUsage,
     },
-    /// The last usage window that has been closed.
+    /// The last closed usage window.
     ClosedWindow {
         /// The window.
         window: UsageWindow,
     },
-    /// An order that has been settled, so that a repeat of it is recognised.
+    /// A settled order, by which a repeat of it is detected.
     Settled {
         /// The duty that it belonged to.
         duty: DutyName,
-        /// The order.
+        /// The id of the order.
         order: OrderId,
-        /// What was ordered.
+        /// The content of the order.
         body: OrderBody,
         /// How it ended.
         outcome: OrderOutcome,
-        /// Where its outcome stands.
+        /// The offset of its outcome.
         offset: LogOffset,
     },
     /// A request that crashed endpoints.
     Quarantine {
         /// One of its crashes.
         quarantine: QuarantineRecord,
-        /// Where the last record of it stands.
+        /// The offset of the last record about the request.
         #[serde(default)]
         offset: LogOffset,
     },
--- a/crates/core/src/records/claims.rs
+++ b/crates/core/src/records/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys, and what became of them.
+//! Claims of idempotency keys, and their settlements.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,19 +12,21 @@
     pub claims: Vec<IdempotencyClaim>,
 }
 
-/// The claim of an idempotency key: the first in the log's order may send.
+/// The claim of an idempotency key. Only the request of the first claim in the log may
+/// be sent to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IdempotencyClaim {
-    /// Whose action it is.
+    /// The organisation that the action belongs to.
     pub organisation: OrganisationId,
     /// The key that the caller sent.
     pub key: IdempotencyKey,
     /// The request that claims it.
     pub request: RequestId,
-    /// What the request asks for, to tell misuse of a key from a repeat.
+    /// The fingerprint of the request's content, which distinguishes a repeat from the
+    /// use of the key for a different request.
     pub fingerprint: RequestFingerprint,
-    /// The entry that claims it.
+    /// The entry that appended the claim.
     pub entry: InstanceId,
 }
 
@@ -36,35 +38,35 @@
     pub settlements: Vec<ClaimSettlement>,
 }
 
-/// What became of a claimed action.
+/// The settlement of a claimed action.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClaimSettlement {
-    /// Whose action it was.
+    /// The organisation that the action belongs to.
     pub organisation: OrganisationId,
-    /// The key.
+    /// The claimed key.
     pub key: IdempotencyKey,
-    /// The request whose claim stood.
+    /// The request with the active claim.
     pub request: RequestId,
-    /// What became of it.
+    /// The result of the action.
     pub result: SettledResult,
 }
 
-/// How a claimed action ended.
+/// The result of a claimed action.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum SettledResult {
-    /// It ran; a later sender gets this answer.
+    /// The action ran; repeats get this answer.
     Answered {
         /// The HTTP status.
         status: u16,
-        /// The content type.
+        /// The content type of the answer.
         content_type: String,
-        /// The body, if it is short enough to keep.
+        /// The body, if it is short enough to be kept.
         body: Option<String>,
     },
-    /// No byte left for an endpoint: the key may be claimed again.
+    /// No byte was sent to an endpoint: the key may be claimed again.
     NotRun,
-    /// It may have run.
+    /// The action may have run.
     Unknown,
 }
--- a/crates/core/src/records/configuration.rs
+++ b/crates/core/src/records/configuration.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration and withdrawals of keys.
+//! Configuration changes and withdrawals of caller keys.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,11 +7,12 @@
     ids::{KeyDigest, LogOffset},
 };
 
-/// A change of several units that takes effect as a whole or not at all.
+/// A change of one or more units, which takes effect completely or not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PublishRecord {
-    /// Who publishes, for the loser of a race to read.
+    /// The operator who publishes, shown to an operator whose concurrent change is
+    /// refused.
     pub publisher: String,
     /// The changes.
     pub changes: Vec<UnitChange>,
@@ -23,19 +24,19 @@
 pub struct UnitChange {
     /// The unit.
     pub unit: UnitName,
-    /// The version that the change was made from; none if the unit was new.
+    /// The version on which the change is based; `None` if the unit was new.
     pub base: Option<LogOffset>,
-    /// The new content; none removes the unit.
+    /// The new content; `None` removes the unit.
     pub body: Option<UnitBody>,
 }
 
-/// The withdrawal of a key. It is never undone: a key that is granted again has
-/// another digest.
+/// The withdrawal of a caller's key. It is never undone: an organisation that is
+/// granted access again gets a key with another digest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WithdrawRecord {
     /// The digest of the key.
     pub digest: KeyDigest,
-    /// Who withdrew it.
+    /// The operator who withdrew the key.
     pub publisher: String,
 }
--- a/crates/core/src/records/drain_marks.rs
+++ b/crates/core/src/records/drain_marks.rs
@@ -1,4 +1,4 @@
-//! Endpoints that are about to leave.
+//! Drain marks of endpoints.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,26 +7,26 @@
     records::DutyName,
 };
 
-/// What a mark says of an endpoint.
+/// The state that a drain mark assigns to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MarkState {
-    /// No new work: a role change, replacement or stop follows.
+    /// The endpoint gets no new requests: a role change, replacement or stop follows.
     Leaving,
-    /// Work again.
+    /// The endpoint gets requests again.
     Staying,
 }
 
-/// An endpoint is about to leave, or no longer is.
+/// Sets or clears the drain mark of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainMarkRecord {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// What the mark says.
+    /// The new state of the endpoint.
     pub state: MarkState,
-    /// The duty under which it was set.
+    /// The duty under which the mark is set or cleared.
     pub duty: DutyName,
-    /// The fencing number of its holder.
+    /// The fencing number of the duty's holder.
     pub fence: LogOffset,
 }
--- a/crates/core/src/records/duties.rs
+++ b/crates/core/src/records/duties.rs
@@ -7,17 +7,17 @@
     ids::{FailureDomain, InstanceId, LogOffset},
 };
 
-/// What a process may be in charge of.
+/// A duty: a singleton task that a process holds under a lease.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DutyName {
-    /// Orders to the platform's endpoint interface.
+    /// Sending orders to the platform's endpoint interface.
     Fleet,
     /// Closing and reporting usage windows.
     Usage,
-    /// Checkpoints of the log.
+    /// Writing checkpoints to the log.
     Log,
-    /// Orders to the engines of a failure domain.
+    /// Sending orders to the engines of a failure domain.
     Engines(FailureDomain),
 }
 
@@ -32,18 +32,18 @@
     }
 }
 
-/// What a lease record does.
+/// The action of a lease record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaseAction {
-    /// Take the duty; its offset becomes the fencing number.
+    /// Claims the duty; the offset of the record becomes the fencing number.
     Claim,
-    /// Keep the duty under the fencing number of the claim.
+    /// Renews the lease under the fencing number of the claim.
     Renew {
         /// The offset of the claim.
         fence: LogOffset,
     },
-    /// Give the duty up.
+    /// Releases the duty.
     Release {
         /// The offset of the claim.
         fence: LogOffset,
@@ -56,14 +56,14 @@
 pub struct LeaseRecord {
     /// The duty.
     pub duty: DutyName,
-    /// Who claims, holds or gives up.
+    /// The instance that claims, renews or releases the duty.
     pub holder: InstanceId,
-    /// What the record does.
+    /// The action of the record.
     pub action: LeaseAction,
-    /// How long the lease runs from a claim or renewal.
+    /// How long the lease is valid after a claim or renewal.
     pub duration: TimeSpan,
-    /// For a claim: the last claim or renewal of the lease that it follows; none
-    /// if the duty was free. The claim loses if that has changed meanwhile.
+    /// For a claim: the last claim or renewal of the lease that it follows; `None` if
+    /// the duty was free. The claim has no effect if that has changed meanwhile.
     #[serde(default)]
     pub supersedes: Option<LogOffset>,
 }
--- a/crates/core/src/records/mod.rs
+++ b/crates/core/src/records/mod.rs
@@ -1,7 +1,7 @@
 //! The records of the platform's log, as all processes read them.
 //!
-//! Each slice reads the records of its duty; [`crate::view::FleetView`] hands
-//! every entry to every slice, in the order of the log.
+//! [`crate::view::FleetView`] applies the entries in log order and passes each record
+//! to the modules that hold the state it changes.
 
 mod checkpoint;
 mod claims;
@@ -26,47 +26,47 @@
 };
 use crate::ids::{LogOffset, WriterId};
 
-/// One entry of the log as read back: where it stands, who wrote it, what it says.
+/// One entry of the log as read back, with its offset and writer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogEntry {
-    /// Where the entry stands.
+    /// The offset of the entry.
     pub offset: LogOffset,
-    /// Who appended it.
+    /// The writer that appended the entry.
     pub writer: WriterId,
-    /// The writer's own number for it. An append whose answer was lost is sent
-    /// again with the same number, and readers drop the second copy.
+    /// The sequence number given by the writer. An append whose answer was lost is
+    /// repeated with the same number, and readers drop the second copy.
     pub sequence: u64,
-    /// What it says.
+    /// The record.
     pub record: LogRecord,
 }
 
-/// What an entry of the log says.
+/// The content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum LogRecord {
-    /// An operator's change of configuration.
+    /// A configuration change by an operator.
     Publish(PublishRecord),
-    /// A key stops working, whatever the configuration says.
+    /// The withdrawal of a caller's key, which overrides the configuration.
     Withdraw(WithdrawRecord),
-    /// A part of the live state, written again before the log forgets it.
+    /// A part of a checkpoint of the live state.
     Checkpoint(CheckpointPart),
     /// A claim, renewal or release of a duty.
     Lease(LeaseRecord),
     /// An order that the holder of a duty is about to send.
     Intent(IntentRecord),
-    /// What became of an order.
+    /// The outcome of an order.
     Outcome(OutcomeRecord),
-    /// Claims of idempotency keys, batched.
+    /// A batch of claims of idempotency keys.
     Claims(ClaimBatch),
-    /// What became of claimed actions, batched.
+    /// A batch of settlements of claimed actions.
     Settlements(SettlementBatch),
-    /// An endpoint is about to leave, or no longer is.
+    /// Sets or clears the drain mark of an endpoint.
     Mark(DrainMarkRecord),
-    /// What one entry metered.
+    /// Usage metered by one entry.
     Usage(UsageDelta),
-    /// The end of a usage window, which freezes its figures.
+    /// Closes a usage window and freezes its usage.
     WindowClose(WindowClose),
-    /// A request that crashes the endpoints that run it.
+    /// A crash of an endpoint during a request, or the clearance of such a request.
     Quarantine(QuarantineRecord),
 }
--- a/crates/core/src/records/orders.rs
+++ b/crates/core/src/records/orders.rs
@@ -7,18 +7,18 @@
     records::{DutyName, UsageWindow},
 };
 
-/// What an engine does in a fleet with separate prefill and decode.
+/// The role of an engine in a fleet with separate prefill and decode.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Prefill and decode in one batch.
+    /// Runs prefill and decode in one batch.
     #[default]
     Mixed,
-    /// Prompts only; the KV cache is handed over.
+    /// Processes prompts only and hands the KV cache over to a decode engine.
     Prefill,
-    /// Output only.
+    /// Generates output only.
     Decode,
 }
 
@@ -32,51 +32,51 @@
     }
 }
 
-/// The two kinds of capacity that the platform offers.
+/// The kinds of capacity that the platform offers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CapacityKind {
-    /// Kept until we stop it.
+    /// Kept until an order stops it.
     Reserved,
-    /// Cheaper; the platform takes it back on a few seconds' notice.
+    /// Cheaper; the platform may reclaim it with a few seconds' notice.
     Preemptible,
 }
 
-/// What an order asks of an engine or of the platform.
+/// The content of an order to an engine or to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "snake_case")]
 pub enum OrderBody {
-    /// An engine changes its role.
+    /// Changes the role of an engine.
     SetRole {
         /// The engine.
         endpoint: EndpointId,
-        /// Its new role.
+        /// The new role.
         role: EngineRole,
     },
-    /// An engine loads a model version.
+    /// Loads a model version on an engine.
     LoadModel {
         /// The engine.
         endpoint: EndpointId,
         /// The model.
         model: ModelName,
     },
-    /// The platform starts an endpoint.
+    /// Starts an endpoint on the platform.
     StartEndpoint {
-        /// Where.
+        /// The failure domain to start it in.
         failure_domain: FailureDomain,
-        /// On what.
+        /// The kind of capacity to start it on.
         capacity: CapacityKind,
-        /// For which service.
+        /// The service that it will serve.
         service: ServiceName,
     },
-    /// The platform stops an endpoint.
+    /// Stops an endpoint on the platform.
     StopEndpoint {
-        /// Which.
+        /// The endpoint to stop.
         endpoint: EndpointId,
     },
-    /// The platform takes a usage report.
+    /// Sends a usage report to the platform.
     ReportUsage {
-        /// The window reported.
+        /// The reported window.
         window: UsageWindow,
     },
 }
@@ -87,11 +87,11 @@
 pub struct IntentRecord {
     /// The duty that the order belongs to.
     pub duty: DutyName,
-    /// The fencing number of its holder.
+    /// The fencing number of the duty's holder.
     pub fence: LogOffset,
-    /// The order's id; the same intent always has the same one.
+    /// The id of the order; a repeated intent has the same id.
     pub order: OrderId,
-    /// What is ordered.
+    /// The content of the order.
     pub body: OrderBody,
 }
 
@@ -99,24 +99,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderOutcome {
-    /// It took effect.
+    /// The order took effect.
     Applied,
-    /// It was refused and had no effect.
+    /// The receiver refused the order, which had no effect.
     Refused,
-    /// It was never sent, or observed to have had no effect.
+    /// The order was never sent, or was observed to have had no effect.
     Abandoned,
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OutcomeRecord {
     /// The duty that the order belongs to.
     pub duty: DutyName,
-    /// The fencing number of whoever finished it.
+    /// The fencing number of the holder that finished the order.
     pub fence: LogOffset,
-    /// The order.
+    /// The id of the order.
     pub order: OrderId,
-    /// How it ended.
+    /// How the order ended.
     pub outcome: OrderOutcome,
 }
--- a/crates/core/src/records/usage.rs
+++ b/crates/core/src/records/usage.rs
@@ -1,4 +1,4 @@
-//! What entries metered, and the ends of usage windows.
+//! Usage metered by entries, and the closing of usage windows.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,7 +8,7 @@
     units::TokenCount,
 };
 
-/// The number of a usage window, counted from the wall clock's origin.
+/// The number of a usage window, counted from the origin of the wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct UsageWindow(u64);
@@ -19,7 +19,7 @@
         UsageWindow(number)
     }
 
-    /// The window's number.
+    /// The number of the window.
     pub const fn number(self) -> u64 {
         self.0
     }
@@ -29,7 +29,7 @@
         UsageWindow(self.0 + 1)
     }
 
-    /// The window that `now` falls into if windows are `length` long.
+    /// The window that contains `now` if windows are `length` long.
     pub fn at(now: ClockTime, length: TimeSpan) -> UsageWindow {
         UsageWindow(now.as_millis() / length.as_millis().max(1))
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// What one organisation used of one service.
+/// The usage of one service by one organisation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UsageLine {
@@ -57,44 +57,44 @@
     pub organisation: OrganisationId,
     /// The service.
     pub service: ServiceName,
-    /// Answers delivered, in whole or in part.
+    /// The number of answers that were delivered, completely or in part.
     pub requests: u64,
-    /// Prompt tokens of those.
+    /// Prompt tokens of those answers.
     pub prompt_tokens: TokenCount,
     /// Output tokens delivered to the caller.
     pub output_tokens: TokenCount,
 }
 
-/// What one entry metered since its last delta.
+/// The usage that one entry metered since its last delta.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UsageDelta {
     /// The entry.
     pub entry: InstanceId,
-    /// The window in which it was metered.
+    /// The window in which the usage was metered.
     pub window: UsageWindow,
-    /// The lines.
+    /// The usage by organisation and service.
     pub lines: Vec<UsageLine>,
 }
 
-/// The end of a window: its figures are those of the log before this record.
+/// Closes a window: its usage is the sum of the deltas before this record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WindowClose {
     /// The window.
     pub window: UsageWindow,
-    /// The fencing number of the `usage` duty's holder.
+    /// The fencing number of the holder of the `usage` duty.
     pub fence: LogOffset,
 }
 
-/// The figures of a window.
+/// The usage of a window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WindowUsage {
     /// The window.
     pub window: UsageWindow,
-    /// Whether a close record froze the figures.
+    /// Whether the window is closed and its usage frozen.
     pub frozen: bool,
-    /// The lines, by organisation and service.
+    /// The usage, sorted by organisation and service.
     pub lines: Vec<UsageLine>,
 }
--- a/crates/core/src/usage/metered.rs
+++ b/crates/core/src/usage/metered.rs
@@ -1,8 +1,9 @@
-//! Counting requests by window at the entries, and adding the counts up.
+//! Counts requests by usage window at the entries, and sums the counts up.
 //!
-//! An entry may be killed at any moment and has no disk, so it publishes its
-//! counts several times in a window, always in full: a count that is published
-//! twice, or whose acknowledgement was lost, is not added twice.
+//! An entry may be killed at any time and has no disk, so it publishes its counts
+//! several times in each window. It always publishes a window's complete counts, so a
+//! count that is published twice, or whose acknowledgement was lost, is not added
+//! twice.
 
 use std::collections::BTreeMap;
 
@@ -11,23 +12,23 @@
     records::UsageWindow,
 };
 
-/// How many windows back an entry goes on publishing: an outage of the store may
-/// outlast some.
-const WINDOWS_KEPT: usize = 8;
+/// How many windows an entry keeps for publishing: an outage of the store may last for
+/// several windows.
+const MAX_WINDOWS: usize = 8;
 
-/// The requests of each organisation that began to run in a window.
+/// The number of requests of each organisation that started to run in a window.
 pub type MeteredCounts = BTreeMap<OrganisationId, u64>;
 
-/// Who counted: an instance and which of its starts.
+/// The origin of a count: one start of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MeterWriter {
     /// The instance.
     pub instance: InstanceId,
-    /// Tells its starts apart.
+    /// A number that differs between the starts of the instance.
     pub start: u64,
 }
 
-/// The counts of one entry.
+/// Counts the requests of one entry by window.
 #[derive(Clone, Debug, Default)]
 pub struct UsageMeter {
     windows: BTreeMap<UsageWindow, MeteredCounts>,
@@ -35,24 +36,25 @@
 }
 
 impl UsageMeter {
-    /// Nothing counted.
+    /// Creates a meter without counts.
     pub fn new() -> UsageMeter {
         UsageMeter::default()
     }
 
-    /// A request of the organisation began to run in `window`.
+    /// Counts a request of `organisation` that started to run in `window`.
     pub fn count(&mut self, window: UsageWindow, organisation: &OrganisationId) {
         let counts = self.windows.entry(window).or_default();
         *counts.entry(organisation.clone()).or_default() += 1;
         *self.unpublished.entry(window).or_default() += 1;
-        while self.windows.len() > WINDOWS_KEPT {
+        while self.windows.len() > MAX_WINDOWS {
             if let Some((oldest, _)) = self.windows.pop_first() {
                 self.unpublished.remove(&oldest);
             }
         }
     }
 
-    /// The windows with news, in full. They stay news until [`UsageMeter::mark_published`].
+    /// The complete counts of the windows with unpublished changes, which remain
+    /// unpublished until [`UsageMeter::mark_published`] is called.
     pub fn unpublished(&self) -> Vec<(UsageWindow, MeteredCounts)> {
         let windows = self.windows.iter();
         let changed = windows.filter(|(window, _)| self.unpublished.contains_key(window));
@@ -61,21 +63,22 @@
             .collect()
     }
 
-    /// The last windows, in full.
+    /// The complete counts of the last `count` windows, latest first.
     pub fn last_windows(&self, count: usize) -> Vec<(UsageWindow, MeteredCounts)> {
         let last = self.windows.iter().rev().take(count);
         last.map(|(window, counts)| (*window, counts.clone()))
             .collect()
     }
 
-    /// Whether anything was counted in the window.
+    /// Whether any request was counted in `window`.
     pub fn has_counted(&self, window: UsageWindow) -> bool {
         self.windows.contains_key(&window)
     }
 
-    /// The store acknowledged these.
-    pub fn mark_published(&mut self, news: &[(UsageWindow, MeteredCounts)]) {
-        for (window, counts) in news {
+    /// Records that the store acknowledged these counts. A window whose counts have
+    /// changed since remains unpublished.
+    pub fn mark_published(&mut self, published: &[(UsageWindow, MeteredCounts)]) {
+        for (window, counts) in published {
             if self.windows.get(window) == Some(counts) {
                 self.unpublished.remove(window);
             }
@@ -83,44 +86,46 @@
     }
 }
 
-/// The counts of all entries, as published.
+/// The published counts of all entries.
 #[derive(Clone, Debug, Default)]
 pub struct UsageLedger {
     windows: BTreeMap<UsageWindow, BTreeMap<MeterWriter, MeteredCounts>>,
-    /// The window that each writer was in when it last published.
+    /// The latest window in which each instance has published.
     reached: BTreeMap<InstanceId, UsageWindow>,
 }
 
 impl UsageLedger {
-    /// Nothing published.
+    /// Creates a ledger without counts.
     pub fn new() -> UsageLedger {
         UsageLedger::default()
     }
 
-    /// Takes what was published; later words of a writer replace earlier ones.
+    /// Records published counts, which replace earlier ones of the same writer and
+    /// window.
     pub fn record(&mut self, window: UsageWindow, writer: MeterWriter, counts: MeteredCounts) {
         let writers = self.windows.entry(window).or_default();
         writers.insert(writer, counts);
-        while self.windows.len() > 2 * WINDOWS_KEPT {
+        while self.windows.len() > 2 * MAX_WINDOWS {
             self.windows.pop_first();
         }
     }
 
-    /// A writer published while it was in `window`: whatever it counted in earlier
-    /// ones is known.
+    /// Records that `instance` published during `window`: its counts of earlier windows
+    /// are complete.
     pub fn note_reached(&mut self, instance: InstanceId, window: UsageWindow) {
         let reached = self.reached.entry(instance).or_insert(window);
         *reached = window.max(*reached);
     }
 
-    /// Whether the instance has published everything that it counted in `window`.
+    /// Whether the published counts of `instance` in `window` are complete.
     pub fn is_complete(&self, instance: &InstanceId, window: UsageWindow) -> bool {
         self.reached
             .get(instance)
             .is_some_and(|reached| *reached > window)
     }
 
-    /// Instances that published in `window` or the one before it, and not yet after it.
+    /// The instances that published during `window` or the one before it, and not yet
+    /// after it.
     pub fn pending(&self, window: UsageWindow) -> impl Iterator<Item = &InstanceId> {
         let is_pending = move |reached: UsageWindow| reached == window || reached.next() == window;
         let pending = self
@@ -130,7 +135,7 @@
         pending.map(|(instance, _)| instance)
     }
 
-    /// The sum of a window.
+    /// The sum of all published counts of `window`.
     pub fn sum(&self, window: UsageWindow) -> MeteredCounts {
         let mut sum = MeteredCounts::new();
         for counts in self
--- a/crates/core/src/usage/mod.rs
+++ b/crates/core/src/usage/mod.rs
@@ -1,9 +1,9 @@
-//! Metering: deltas by entries, windows frozen in the log, one report each.
+//! Metered usage: entries append deltas, a record in the log closes each window, and
+//! each closed window is reported once.
 //!
-//! A window's figures are the sum of the deltas that stand in the log before the
-//! record that closes it, so every process computes the same figures and no
-//! repeat of a report can differ. A delta that comes later is not lost: it counts
-//! in the first window that is still open.
+//! A window's usage is the sum of the deltas in the log before the record that closes
+//! it, so every process computes the same sums, and a repeated report equals the first
+//! one. A later delta is not lost: it is added to the first window that is still open.
 
 mod metered;
 
@@ -19,7 +19,7 @@
     },
 };
 
-/// What the log says of usage.
+/// Usage by window, as recorded in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct UsageState {
     open: BTreeMap<UsageWindow, Vec<UsageLine>>,
@@ -28,13 +28,13 @@
 }
 
 impl UsageState {
-    /// Nothing read yet.
+    /// Creates the state before the first record of the log.
     pub fn new() -> UsageState {
         UsageState::default()
     }
 
-    /// Adds what an entry metered: to its own window, or, if that is closed, to
-    /// the first window after the last closed one.
+    /// Adds the delta of an entry to the delta's window or, if that is closed, to the
+    /// first window after the last closed one.
     pub fn meter(&mut self, _now: ClockTime, _offset: LogOffset, delta: &UsageDelta) {
         let first_open = self
             .last_closed
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Freezes a window, if the record counts: it stands under the fencing number
-    /// of the `usage` duty, and the windows are closed in order.
+    /// Closes and freezes a window, if the record is valid: it carries the current
+    /// fencing number of the `usage` duty, and windows are closed in order.
     pub fn close(
         &mut self,
         _now: ClockTime,
@@ -69,13 +69,13 @@
         self.frozen.insert(close.window, lines);
     }
 
-    /// Notes that a window has been reported.
-    pub fn reported(&mut self, window: UsageWindow) {
+    /// Records that a window has been reported, and drops its usage.
+    pub fn note_reported(&mut self, window: UsageWindow) {
         self.frozen.remove(&window);
     }
 
-    /// The window to close next: the first with usage, once `grace` has passed
-    /// since its end.
+    /// The window to close next: the first one with usage, once `grace` has passed
+    /// since its end. Windows are `length` long.
     pub fn next_to_close(
         &self,
         now: ClockTime,
@@ -87,22 +87,22 @@
         (first < current).then_some(first)
     }
 
-    /// The frozen windows that no report has been settled for, oldest first.
+    /// The frozen windows without a settled report, oldest first.
     pub fn unreported(&self) -> impl Iterator<Item = (UsageWindow, &Vec<UsageLine>)> {
         self.frozen.iter().map(|(window, lines)| (*window, lines))
     }
 
-    /// The figures of a window that is frozen and not yet reported.
+    /// The usage of a window that is frozen and not yet reported.
     pub fn frozen(&self, window: UsageWindow) -> Option<&Vec<UsageLine>> {
         self.frozen.get(&window)
     }
 
-    /// The last window that was closed.
+    /// The last closed window.
     pub fn last_closed(&self) -> Option<UsageWindow> {
         self.last_closed
     }
 
-    /// The windows as items of a checkpoint.
+    /// Returns the windows as checkpoint items.
     pub fn checkpoint(&self) -> Vec<CheckpointItem> {
         let item = |frozen: bool| {
             move |(window, lines): (&UsageWindow, &Vec<UsageLine>)| CheckpointItem::Window {
@@ -121,7 +121,7 @@
         closed.into_iter().chain(frozen).chain(open).collect()
     }
 
-    /// Takes over an item of a checkpoint.
+    /// Restores a window from a checkpoint item; ignores items of other kinds.
     pub fn restore(&mut self, _now: ClockTime, item: &CheckpointItem) {
         match item {
             CheckpointItem::Window { figures } => {
@@ -143,12 +143,12 @@
 fn add_line(lines: &mut Vec<UsageLine>, line: &UsageLine) {
     let key = |line: &UsageLine| (line.organisation.clone(), line.service.clone());
     match lines.binary_search_by_key(&key(line), key) {
-        Ok(place) => {
-            let sum = &mut lines[place];
+        Ok(index) => {
+            let sum = &mut lines[index];
             sum.requests = sum.requests.saturating_add(line.requests);
             sum.prompt_tokens = sum.prompt_tokens + line.prompt_tokens;
             sum.output_tokens = sum.output_tokens + line.output_tokens;
         }
-        Err(place) => lines.insert(place, line.clone()),
+        Err(index) => lines.insert(index, line.clone()),
     }
 }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -1,8 +1,8 @@
-//! What one process knows from the log: every slice's state, at one offset.
+//! The state of all modules that is derived from the log, at one offset.
 //!
-//! All processes fold the same entries in the same order, so any two views at
-//! the same offset agree on configuration, leases, claims and usage, however
-//! the entries reached them (read from the platform or relayed by a peer).
+//! All processes apply the same entries in the same order, so any two views at the same
+//! offset agree on configuration, leases, claims and usage, whether the entries were
+//! read from the platform or relayed by a peer.
 
 use crate::{
     authority::LeaseState,
@@ -22,62 +22,62 @@
     writers::WriterTable,
 };
 
-/// What changed by applying an entry, for those who must act at once.
+/// A change made by applying an entry, for components that must react at once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ViewEvent {
     /// A publish took effect.
     Published {
-        /// Where it stands.
+        /// The offset of the publish.
         offset: LogOffset,
     },
-    /// A publish was refused by the reader's rule.
+    /// A publish was refused, by the rule that all readers apply.
     PublishRefused {
-        /// Where it stands.
+        /// The offset of the publish.
         offset: LogOffset,
-        /// Why.
+        /// The reason.
         refusal: PublishRefusal,
     },
-    /// A key admits nobody any more; its running work ends.
+    /// A key is no longer valid; running requests with it are to be ended.
     KeyRevoked {
-        /// Its digest.
+        /// The digest of the key.
         digest: KeyDigest,
     },
-    /// An endpoint's mark changed.
+    /// The drain mark of an endpoint changed.
     Marked {
         /// The endpoint.
         endpoint: EndpointId,
     },
 }
 
-/// The fold of the log up to an offset.
+/// The state that results from applying the log up to an offset.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct FleetView {
     next: LogOffset,
-    /// The last record of each writer.
+    /// The last record of each writer, by which repeated appends are detected.
     pub writers: WriterTable,
-    /// Configuration in force.
+    /// The current configuration.
     pub configuration: ConfigurationState,
-    /// Keys in force.
+    /// Withdrawn keys.
     pub keys: KeyState,
-    /// Duties and their holders.
+    /// The leases of duties.
     pub leases: LeaseState,
-    /// Orders, open and done.
+    /// Open and settled orders.
     pub orders: OrderState,
-    /// Claimed idempotency keys.
+    /// Claims of idempotency keys.
     pub claims: ClaimState,
-    /// Leaving endpoints.
+    /// Drain marks of endpoints.
     #[serde(rename = "marks")]
     pub drain_marks: DrainMarks,
-    /// Metered usage.
+    /// Metered usage by window.
     pub usage: UsageState,
-    /// Quarantined requests.
+    /// Suspect and quarantined requests.
     pub quarantine: QuarantineState,
-    /// Parts of a checkpoint that is being read.
+    /// Checkpoints that have been read, complete or in part.
     pub checkpoint: CheckpointReader,
 }
 
 impl FleetView {
-    /// The view before the log's first entry.
+    /// Creates the view before the first entry of the log.
     pub fn new() -> FleetView {
         FleetView::default()
     }
@@ -87,37 +87,36 @@
         self.next
     }
 
-    /// Whether everything up to and with `offset` has been applied.
+    /// Whether all entries up to and including `offset` have been applied.
     pub fn has_applied(&self, offset: LogOffset) -> bool {
         offset < self.next
     }
 
-    /// Whether `offset` is the next to apply. A later one means that the log has
-    /// forgotten what lies between, or that a relay left it out: applying it
-    /// would lose a publish or a claim without anyone noticing, so it must be
-    /// read or restored from a checkpoint first.
+    /// Whether `offset` is the next one to apply. A later one means that the log has dropped
+    /// the entries between, or that a relay omitted them. Applying it would lose a publish
+    /// or a claim silently, so the gap must first be read or restored from a checkpoint.
     pub fn is_next(&self, offset: LogOffset) -> bool {
         offset == self.next
     }
 
-    /// Applies an entry. One that has been applied is passed over; so is the
-    /// second copy of an append whose answer was lost, and an entry beyond the
-    /// next (see [`FleetView::is_next`]).
+    /// Applies an entry and returns the resulting changes. Ignores an entry that has been
+    /// applied already, the second copy of an append whose answer was lost, and an entry
+    /// beyond the next one (see [`FleetView::is_next`]).
     pub fn apply(&mut self, now: ClockTime, entry: &LogEntry) -> Vec<ViewEvent> {
         if !self.is_next(entry.offset) {
             return Vec::new();
         }
         self.next = entry.offset.next();
-        let counts = self
+        let is_first_copy = self
             .writers
             .accept(&entry.writer, entry.sequence, entry.offset);
-        if !counts {
+        if !is_first_copy {
             return Vec::new();
         }
         self.apply_record(now, entry.offset, &entry.record)
     }
 
-    /// The organisation that a key admits: granted, and not withdrawn.
+    /// The organisation of a key that is granted and not withdrawn.
     pub fn key_organisation(&self, digest: &KeyDigest) -> Option<&OrganisationId> {
         if self.keys.is_withdrawn(digest) {
             return None;
@@ -125,7 +124,7 @@
         self.configuration.organisation_of(digest)
     }
 
-    /// The live state as checkpoint items: that after applying everything before
+    /// Returns the live state as checkpoint items. It includes all entries before
     /// [`FleetView::next_offset`].
     pub fn checkpoint(&self) -> Vec<CheckpointItem> {
         let mut items = self.configuration.checkpoint();
@@ -140,7 +139,7 @@
         items
     }
 
-    /// The view after everything up to and with `as_of`, from the items of a
+    /// Creates the view after all entries up to and including `as_of`, from the items of a
     /// complete checkpoint that were read at `now`.
     pub fn with_checkpoint<'a, Items>(now: ClockTime, as_of: LogOffset, items: Items) -> FleetView
     where
@@ -162,17 +161,17 @@
         view
     }
 
-    /// Takes over from `former`, an earlier view: what was withdrawn there stays
-    /// withdrawn. Answers what changed, as if the entries between had been read.
+    /// Replaces `former`, an earlier view: its withdrawn keys stay withdrawn. Returns the
+    /// changes since that view, as if the entries between had been applied.
     pub fn take_over(&mut self, former: &FleetView) -> Vec<ViewEvent> {
         self.keys.keep_withdrawn(&former.keys);
         let offset = self.next;
-        let admitted = former.configuration.key_digests();
-        let lost = admitted.filter(|digest| {
+        let granted = former.configuration.key_digests();
+        let revoked = granted.filter(|digest| {
             let before = former.key_organisation(digest);
             before.is_some() && before != self.key_organisation(digest)
         });
-        let lost = lost.map(|digest| ViewEvent::KeyRevoked {
+        let revoked = revoked.map(|digest| ViewEvent::KeyRevoked {
             digest: digest.clone(),
         });
         let marked = self.drain_marks.iter().chain(former.drain_marks.iter());
@@ -180,7 +179,7 @@
             endpoint: endpoint.clone(),
         });
         std::iter::once(ViewEvent::Published { offset })
-            .chain(lost)
+            .chain(revoked)
             .chain(marked)
             .collect()
     }
@@ -193,12 +192,12 @@
     ) -> Vec<ViewEvent> {
         match record {
             LogRecord::Publish(publish) => match self.configuration.apply(offset, publish) {
-                Ok(lost) => {
-                    let lost = lost
+                Ok(revoked) => {
+                    let revoked = revoked
                         .into_iter()
                         .map(|digest| ViewEvent::KeyRevoked { digest });
                     std::iter::once(ViewEvent::Published { offset })
-                        .chain(lost)
+                        .chain(revoked)
                         .collect()
                 }
                 Err(refusal) => vec![ViewEvent::PublishRefused { offset, refusal }],
@@ -255,12 +254,12 @@
             return;
         };
         if outcome.outcome == OrderOutcome::Applied {
-            self.usage.reported(window);
+            self.usage.note_reported(window);
         }
     }
 
-    /// Takes a withdrawal, read from the log or told by a peer while the log is
-    /// down. It is monotone, so its place in the log does not matter.
+    /// Applies a withdrawal that was read from the log, or received from a peer while the log
+    /// is unavailable. A withdrawal is final, so its offset does not matter.
     pub fn withdraw(&mut self, withdrawal: &WithdrawRecord) -> Vec<ViewEvent> {
         if !self.keys.withdraw(withdrawal) {
             return Vec::new();
--- a/crates/core/src/writers.rs
+++ b/crates/core/src/writers.rs
@@ -1,13 +1,13 @@
-//! Which records of which writer have been read, to drop second copies.
+//! The last record of each writer, by which repeated appends are detected.
 //!
-//! An append whose answer was lost is sent again, so it may stand in the log
-//! twice; one that was given up may even land after its writer's next record.
-//! Without this table a charge could be claimed twice by one entry, or a delta
-//! of usage be billed twice. A writer has one append under way at a time, so a
-//! sequence number that is not greater than the last one read marks a copy.
+//! An append whose answer was lost is sent again, so it may be in the log twice; one
+//! that timed out may even be stored after the next record of its writer. Without this
+//! table an entry could claim a charge twice, or a delta of usage could be billed twice.
+//! A writer has at most one append in flight, so a record is a copy if its sequence
+//! number is not greater than the last one read.
 //!
-//! The table is bounded, and what it forgets depends on the log alone: two
-//! readers that forget different writers would disagree on a late copy.
+//! The table is bounded, and evictions depend on the log alone: two readers that evict
+//! different writers would disagree on a late copy.
 
 use std::collections::BTreeMap;
 
@@ -18,73 +18,75 @@
     records::CheckpointItem,
 };
 
-/// How many writers are remembered, the latest to write first. A late copy is
-/// dropped unless this many others have appended since the first one.
-pub const WRITER_LIMIT: usize = 8_192;
+/// Maximum number of writers in the table; those with the oldest last record are evicted.
+/// A late copy is dropped unless this many other writers have appended since the first
+/// copy.
+pub const MAX_WRITERS: usize = 8_192;
 
-/// The last record of one writer.
+/// The sequence number and offset of the last record of one writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct WriterPosition {
-    /// The writer's own number for it.
+    /// The sequence number that the writer gave to the record.
     pub sequence: u64,
-    /// Where it stands.
+    /// The offset of the record.
     pub offset: LogOffset,
 }
 
-/// The last record of every writer that is remembered.
+/// The last records of the writers that appended most recently.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct WriterTable {
-    marks: BTreeMap<WriterId, WriterPosition>,
+    #[serde(rename = "marks")]
+    positions: BTreeMap<WriterId, WriterPosition>,
     #[serde(skip)]
     by_offset: BTreeMap<LogOffset, WriterId>,
 }
 
 impl WriterTable {
-    /// A table that remembers nobody.
+    /// Creates an empty table.
     pub fn new() -> WriterTable {
         WriterTable::default()
     }
 
-    /// Takes the record `sequence` of `writer` that stands at `offset`; answers
-    /// whether it counts, which a second copy does not.
+    /// Records the record `sequence` of `writer` at `offset`. Returns whether the record is to
+    /// be applied, which a second copy is not.
     pub fn accept(&mut self, writer: &WriterId, sequence: u64, offset: LogOffset) -> bool {
-        let last = self.marks.get(writer);
+        let last = self.positions.get(writer);
         if last.is_some_and(|last| sequence <= last.sequence) {
             return false;
         }
-        self.remember(writer, WriterPosition { sequence, offset });
+        self.insert(writer, WriterPosition { sequence, offset });
         true
     }
 
-    fn remember(&mut self, writer: &WriterId, mark: WriterPosition) {
-        if let Some(last) = self.marks.insert(writer.clone(), mark) {
+    fn insert(&mut self, writer: &WriterId, position: WriterPosition) {
+        if let Some(last) = self.positions.insert(writer.clone(), position) {
             self.by_offset.remove(&last.offset);
         }
-        self.by_offset.insert(mark.offset, writer.clone());
-        while self.marks.len() > WRITER_LIMIT {
+        self.by_offset.insert(position.offset, writer.clone());
+        while self.positions.len() > MAX_WRITERS {
             let Some((_, oldest)) = self.by_offset.pop_first() else {
                 return;
             };
-            self.marks.remove(&oldest);
+            self.positions.remove(&oldest);
         }
     }
 
-    /// Where the last record of `writer` stands that counts.
+    /// The last applied record of `writer`.
     pub fn last_record(&self, writer: &WriterId) -> Option<WriterPosition> {
-        self.marks.get(writer).copied()
+        self.positions.get(writer).copied()
     }
 
-    /// The table as checkpoint items.
+    /// Returns the table as checkpoint items.
     pub fn checkpoint(&self) -> Vec<CheckpointItem> {
-        let item = |(writer, mark): (&WriterId, &WriterPosition)| CheckpointItem::Writer {
+        let item = |(writer, position): (&WriterId, &WriterPosition)| CheckpointItem::Writer {
             writer: writer.clone(),
-            sequence: mark.sequence,
-            offset: mark.offset,
+            sequence: position.sequence,
+            offset: position.offset,
         };
-        self.marks.iter().map(item).collect()
+        self.positions.iter().map(item).collect()
     }
 
-    /// Takes over a checkpoint item, if it is about a writer.
+    /// Restores a writer from a checkpoint item; ignores items of other kinds.
     pub fn restore(&mut self, item: &CheckpointItem) {
         if let CheckpointItem::Writer {
             writer,
@@ -92,11 +94,11 @@
             offset,
         } = item
         {
-            let mark = WriterPosition {
+            let position = WriterPosition {
                 sequence: *sequence,
                 offset: *offset,
             };
-            self.remember(writer, mark);
+            self.insert(writer, position);
         }
     }
 }
--- a/crates/core/tests/checkpoint.rs
+++ b/crates/core/tests/checkpoint.rs
@@ -1,6 +1,6 @@
-//! Restoring from a checkpoint gives what reading the whole log gives.
+//! A view that is restored from a checkpoint equals the view of the whole log.
 //!
-//! Logs are random, from fixed seeds; `BLUEBELL_SEEDS=N` runs N seeds instead.
+//! The logs are random with fixed seeds; `BLUEBELL_SEEDS=N` runs N seeds instead.
 
 use bluebell_core::{
     checkpoint::{CheckpointReader, CheckpointSchedule, CheckpointWriter, KeptRange},
@@ -25,8 +25,8 @@
 const NOW: ClockTime = ClockTime::from_millis(1_000);
 
 fn seeds() -> u64 {
-    let asked = std::env::var("BLUEBELL_SEEDS").ok();
-    asked.and_then(|text| text.parse().ok()).unwrap_or(40)
+    let configured = std::env::var("BLUEBELL_SEEDS").ok();
+    configured.and_then(|text| text.parse().ok()).unwrap_or(40)
 }
 
 struct RandomLog {
@@ -89,7 +89,7 @@
         self.entries.push(entry);
     }
 
-    /// The second copy of an earlier append, which readers must drop.
+    /// Appends a second copy of an earlier record, which readers must drop.
     fn append_copy(&mut self) {
         let Some(earlier) = self.entries.choose(&mut self.random).cloned() else {
             return;
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Appends the next part of a checkpoint, now and then giving one up halfway.
+    /// Appends the next part of a checkpoint; sometimes abandons one halfway.
     fn write_checkpoint(&mut self) {
         if self.writing.is_none() || self.random.random_bool(0.1) {
             let fence = LogOffset::new(self.random.random_range(0..3));
@@ -244,7 +244,8 @@
     }
 }
 
-/// The view of a process that starts when the log keeps entries from `first_kept` on.
+/// The view of a process that starts when the log keeps the entries from `first_kept`
+/// on; `None` if they contain no usable checkpoint.
 fn restored(entries: &[LogEntry], first_kept: usize) -> Option<FleetView> {
     let mut reader = CheckpointReader::with_items();
     for entry in &entries[first_kept..] {
@@ -260,11 +261,12 @@
     Some(view)
 }
 
-/// The log forgets its oldest records and a new process starts. What it restores
-/// must be what everybody else has, or a withdrawn key would work again there, an
-/// older configuration come back, or a second copy of an append be counted.
+/// The log has dropped its oldest records when a new process starts. The restored view
+/// must equal that of all other processes; otherwise a withdrawn key would be accepted
+/// again, an older configuration would take effect, or a second copy of an append would
+/// be applied.
 #[test]
-fn a_restored_view_is_the_view_of_the_whole_log() {
+fn a_restored_view_equals_the_view_of_the_whole_log() {
     let mut restorations = 0;
     for seed in 0..seeds() {
         let mut log = RandomLog::with_seed(seed);
@@ -276,33 +278,33 @@
                 continue;
             };
             restorations += 1;
-            let mut whole = FleetView::new();
+            let mut full_view = FleetView::new();
             for entry in entries {
-                whole.apply(NOW, entry);
+                full_view.apply(NOW, entry);
             }
-            assert_eq!(view.next_offset(), whole.next_offset());
-            assert_eq!(view.configuration, whole.configuration, "seed {seed}");
-            assert_eq!(view.keys, whole.keys, "seed {seed}");
-            assert_eq!(view.writers, whole.writers, "seed {seed}");
-            assert_eq!(view.leases, whole.leases, "seed {seed}");
-            assert_eq!(view.drain_marks, whole.drain_marks, "seed {seed}");
-            assert_eq!(view.quarantine, whole.quarantine, "seed {seed}");
-            assert_eq!(view.claims, whole.claims, "seed {seed}");
-            assert_eq!(view.usage, whole.usage, "seed {seed}");
+            assert_eq!(view.next_offset(), full_view.next_offset());
+            assert_eq!(view.configuration, full_view.configuration, "seed {seed}");
+            assert_eq!(view.keys, full_view.keys, "seed {seed}");
+            assert_eq!(view.writers, full_view.writers, "seed {seed}");
+            assert_eq!(view.leases, full_view.leases, "seed {seed}");
+            assert_eq!(view.drain_marks, full_view.drain_marks, "seed {seed}");
+            assert_eq!(view.quarantine, full_view.quarantine, "seed {seed}");
+            assert_eq!(view.claims, full_view.claims, "seed {seed}");
+            assert_eq!(view.usage, full_view.usage, "seed {seed}");
             let open = |view: &FleetView| -> Vec<_> {
                 let orders = view.orders.open_orders();
                 orders
                     .map(|(id, order)| (id.clone(), order.clone()))
                     .collect()
             };
-            assert_eq!(open(&view), open(&whole), "seed {seed}");
-            assert_eq!(view.checkpoint(), whole.checkpoint(), "seed {seed}");
+            assert_eq!(open(&view), open(&full_view), "seed {seed}");
+            assert_eq!(view.checkpoint(), full_view.checkpoint(), "seed {seed}");
         }
     }
     assert!(restorations > 100, "{restorations} restorations");
 }
 
-fn written(fence: u64, log: &RandomLog) -> Vec<LogRecord> {
+fn checkpoint_records(fence: u64, log: &RandomLog) -> Vec<LogRecord> {
     let fence = LogOffset::new(fence);
     let mut writer =
         CheckpointWriter::new(fence, &log.view, ByteSize::new(300)).expect("not empty");
@@ -312,14 +314,14 @@
 }
 
 /// The holder of the `log` duty is frozen halfway through a checkpoint, and its
-/// successor writes one too. Parts of the two must not be taken for one whole.
+/// successor writes one too. Parts of both must not be combined into one checkpoint.
 #[test]
-fn parts_of_two_holders_make_no_checkpoint() {
+fn parts_of_two_holders_do_not_form_a_checkpoint() {
     let mut log = RandomLog::with_seed(7);
     log.grow(60);
-    let first = written(1, &log);
-    let second = written(2, &log);
-    assert!(first.len() >= 2, "the state fills several parts");
+    let first = checkpoint_records(1, &log);
+    let second = checkpoint_records(2, &log);
+    assert!(first.len() >= 2, "the state must fill several parts");
     let mut reader = CheckpointReader::with_items();
     let mixed = first[..1].iter().chain(&second[1..]);
     for (number, record) in mixed.enumerate() {
@@ -330,10 +332,10 @@
     assert_eq!(reader.newest(), None);
 }
 
-/// Nobody publishes for a long time while the log forgets by age: the checkpoint
-/// itself would be forgotten, and the next process to start would find nothing.
+/// Nothing is published for a long time while the log drops records by age: the
+/// checkpoint itself would be dropped, and the next process to start would find none.
 #[test]
-fn a_checkpoint_is_due_by_count_by_time_and_by_what_the_log_keeps() {
+fn a_checkpoint_is_due_by_count_by_time_and_by_the_kept_range() {
     let minute = TimeSpan::from_secs(60);
     let schedule = CheckpointSchedule::new(NOW, 1_000, minute);
     let kept = |first: u64, end: u64| KeptRange {
@@ -349,17 +351,18 @@
     assert!(!schedule.is_due(NOW + minute, LogOffset::START, kept(0, 0), None));
 }
 
-/// One writer's late copy is dropped by all readers or by none, however many
-/// writers there have been: the table forgets by the log alone.
+/// A late copy of a writer's record must be dropped by all readers or by none,
+/// regardless of the number of writers: evictions from the table depend on the log
+/// alone.
 #[test]
-fn the_table_of_writers_is_bounded_by_the_log_alone() {
-    use bluebell_core::writers::{WRITER_LIMIT, WriterTable};
+fn the_writer_table_is_bounded_by_the_log_alone() {
+    use bluebell_core::writers::{MAX_WRITERS, WriterTable};
     let writer = |n: usize| WriterId::new(format!("w-{n}")).expect("valid");
     let mut table = WriterTable::new();
-    for n in 0..=WRITER_LIMIT {
+    for n in 0..=MAX_WRITERS {
         assert!(table.accept(&writer(n), 1, LogOffset::new(n as u64)));
     }
     assert_eq!(table.last_record(&writer(0)), None);
-    assert!(!table.accept(&writer(1), 1, LogOffset::new(WRITER_LIMIT as u64 + 1)));
-    assert_eq!(table.checkpoint().len(), WRITER_LIMIT);
+    assert!(!table.accept(&writer(1), 1, LogOffset::new(MAX_WRITERS as u64 + 1)));
+    assert_eq!(table.checkpoint().len(), MAX_WRITERS);
 }
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -1,6 +1,7 @@
-//! Usage windows: frozen once, reported with one figure, nothing billed twice.
+//! Usage windows: each is frozen once and always reported with the same usage, and no
+//! usage is billed twice.
 //!
-//! The schedules' seeds are fixed; `BLUEBELL_SEEDS=N` runs N further ones.
+//! The seeds of the schedules are fixed; `BLUEBELL_SEEDS=N` runs N additional seeds.
 
 use std::collections::BTreeMap;
 
@@ -22,8 +23,9 @@
 const WINDOW: TimeSpan = TimeSpan::from_secs(10);
 const GRACE: TimeSpan = TimeSpan::from_secs(2);
 
-/// From this step on holders stay and read the whole log.
-const CALM_STEP: u64 = 1_000;
+/// From this step on the holder no longer changes and every reporter reads the whole
+/// log.
+const STABLE_STEP: u64 = 1_000;
 
 fn line(organisation: u32, tokens: u64) -> UsageLine {
     UsageLine {
@@ -39,41 +41,41 @@
     InstanceId::new(format!("i{index}")).expect("the name is valid")
 }
 
-/// A reporter that acts by its own view alone, however stale: what a holder does
-/// that was frozen at any step and believes that it is still in charge.
+/// A reporter that acts by its own view alone, however stale: it stands for a holder
+/// that was frozen at any step and assumes that it still holds the duty.
 struct Reporter {
     index: usize,
     view: FleetView,
     runs: BTreeMap<UsageWindow, OrderRun>,
-    held_send: Option<(UsageWindow, LogOffset)>,
+    delayed_send: Option<(UsageWindow, LogOffset)>,
 }
 
-struct World {
+struct Simulation {
     rng: ChaCha8Rng,
     log: Vec<LogEntry>,
     sequences: BTreeMap<WriterId, u64>,
     checks_fencing: bool,
-    calm: bool,
+    is_stable: bool,
     fence: LogOffset,
     reports: Vec<(UsageWindow, LogOffset, Vec<UsageLine>)>,
     metered: u64,
 }
 
-impl World {
-    fn new(seed: u64, checks_fencing: bool) -> World {
-        World {
+impl Simulation {
+    fn new(seed: u64, checks_fencing: bool) -> Simulation {
+        Simulation {
             rng: ChaCha8Rng::seed_from_u64(seed),
             log: Vec::new(),
             sequences: BTreeMap::new(),
             checks_fencing,
-            calm: false,
+            is_stable: false,
             fence: LogOffset::START,
             reports: Vec::new(),
             metered: 0,
         }
     }
 
-    /// Appends, now and then twice, as after an answer that was lost.
+    /// Appends a record once or twice: an append whose answer was lost is repeated.
     fn append(&mut self, index: usize, record: &LogRecord) {
         let writer = WriterId::new(format!("w{index}")).expect("the name is valid");
         let sequence = self.sequences.entry(writer.clone()).or_default();
@@ -101,13 +103,13 @@
         self.append(9, &LogRecord::Usage(delta));
     }
 
-    /// Another controller takes the duty over, whether the former one knows or not.
+    /// Another controller takes the duty over; the former one may not have read this yet.
     fn change_holder(&mut self, time: ClockTime) {
-        let mut truth = FleetView::new();
+        let mut current_view = FleetView::new();
         for entry in &self.log {
-            truth.apply(time, entry);
+            current_view.apply(time, entry);
         }
-        let held = truth.leases.held(&DutyName::Usage);
+        let held = current_view.leases.held(&DutyName::Usage);
         let index = self.rng.random_range(0..3);
         let claim = LeaseRecord {
             duty: DutyName::Usage,
@@ -131,23 +133,23 @@
         }
     }
 
-    fn turn(&mut self, time: ClockTime, reporter: &mut Reporter) {
-        if let Some((window, fence)) = reporter.held_send.take() {
+    fn run_step(&mut self, time: ClockTime, reporter: &mut Reporter) {
+        if let Some((window, fence)) = reporter.delayed_send.take() {
             self.send(time, reporter, window, fence);
             return;
         }
-        if self.calm || self.rng.random_range(0..3) == 0 {
-            let read = match self.calm {
+        if self.is_stable || self.rng.random_range(0..3) == 0 {
+            let read_count = match self.is_stable {
                 true => self.log.len(),
                 false => self.rng.random_range(0..=self.log.len()),
             };
-            for entry in self.log.iter().take(read) {
+            for entry in self.log.iter().take(read_count) {
                 reporter.view.apply(time, entry);
             }
         }
         let held = reporter.view.leases.held(&DutyName::Usage);
-        let own = held.filter(|lease| lease.holder == instance(reporter.index));
-        let Some(fence) = own.map(|lease| lease.fence) else {
+        let own_lease = held.filter(|lease| lease.holder == instance(reporter.index));
+        let Some(fence) = own_lease.map(|lease| lease.fence) else {
             return;
         };
         if let Some(window) = reporter.view.usage.next_to_close(time, WINDOW, GRACE)
@@ -164,11 +166,11 @@
             .map(|(window, _)| window)
             .next();
         if let Some(window) = window {
-            self.carry_on(time, reporter, window, fence);
+            self.run_report(time, reporter, window, fence);
         }
     }
 
-    fn carry_on(
+    fn run_report(
         &mut self,
         time: ClockTime,
         reporter: &mut Reporter,
@@ -190,7 +192,7 @@
             OrderStep::Intend(intent) => self.append(index, &LogRecord::Intent(intent)),
             OrderStep::Settle { record, .. } => self.append(index, &LogRecord::Outcome(record)),
             OrderStep::Observe => {
-                // What the platform shows may lag behind what it has taken.
+                // The platform's listing may lag behind the reports that it has accepted.
                 let lags = self.rng.random_range(0..4) == 0;
                 let known = self.reports.iter().any(|(known, ..)| *known == window);
                 let view = match known && !lags {
@@ -200,7 +202,7 @@
                 run.note_observation(time, &view);
             }
             OrderStep::Send if self.rng.random_range(0..4) == 0 => {
-                reporter.held_send = Some((window, fence));
+                reporter.delayed_send = Some((window, fence));
             }
             OrderStep::Send => self.send(time, reporter, window, fence),
             OrderStep::Wait(_) => {}
@@ -226,42 +228,44 @@
 }
 
 fn report_run(window: UsageWindow) -> OrderRun {
-    let rule = OrderTiming {
+    let timing = OrderTiming {
         timeout: TimeSpan::from_secs(1),
         retry_pause: TimeSpan::ZERO,
         takeover_delay: TimeSpan::ZERO,
     };
     let order = OrderId::new(format!("usage:{window}")).expect("the name is valid");
-    OrderRun::new(order, OrderBody::ReportUsage { window }, true, rule)
+    OrderRun::new(order, OrderBody::ReportUsage { window }, true, timing)
 }
 
 fn seeds() -> std::ops::Range<u64> {
-    let further = std::env::var("BLUEBELL_SEEDS").ok();
-    let further = further.and_then(|text| text.parse().ok()).unwrap_or(0);
-    0..40 + further
+    let additional = std::env::var("BLUEBELL_SEEDS").ok();
+    let additional = additional.and_then(|text| text.parse().ok()).unwrap_or(0);
+    0..40 + additional
 }
 
 fn check(checks_fencing: bool) {
     let mut repeats = 0;
     for seed in seeds() {
-        let mut world = World::new(seed, checks_fencing);
+        let mut simulation = Simulation::new(seed, checks_fencing);
         let mut reporters: Vec<Reporter> = (0..3).map(new_reporter).collect();
-        for step in 0..CALM_STEP + 600 {
+        for step in 0..STABLE_STEP + 600 {
             let time = ClockTime::from_millis(100_000 + step * 100);
-            world.calm = step > CALM_STEP;
-            if !world.calm && world.rng.random_range(0..20) == 0 {
-                world.meter(time);
+            simulation.is_stable = step > STABLE_STEP;
+            if !simulation.is_stable && simulation.rng.random_range(0..20) == 0 {
+                simulation.meter(time);
             }
-            if step == CALM_STEP || (!world.calm && world.rng.random_range(0..100) == 0) {
-                world.change_holder(time);
+            if step == STABLE_STEP
+                || (!simulation.is_stable && simulation.rng.random_range(0..100) == 0)
+            {
+                simulation.change_holder(time);
             }
             for reporter in &mut reporters {
-                world.turn(time, reporter);
+                simulation.run_step(time, reporter);
             }
         }
-        repeats += judge(&world, seed);
+        repeats += check_reports(&simulation, seed);
     }
-    assert!(repeats > 20, "hardly any report was repeated: {repeats}");
+    assert!(repeats > 20, "too few reports were repeated: {repeats}");
 }
 
 fn new_reporter(index: usize) -> Reporter {
@@ -269,53 +273,64 @@
         index,
         view: FleetView::new(),
         runs: BTreeMap::new(),
-        held_send: None,
+        delayed_send: None,
     }
 }
 
-/// Answers how many reports were repeats.
-fn judge(world: &World, seed: u64) -> usize {
-    let mut figures: BTreeMap<UsageWindow, &Vec<UsageLine>> = BTreeMap::new();
-    for (window, _, lines) in &world.reports {
-        let first = figures.entry(*window).or_insert(lines);
-        assert_eq!(*first, lines, "seed {seed}: two figures for {window}");
+/// Checks that repeated reports are equal and that billed and metered usage agree.
+/// Returns the number of repeated reports.
+fn check_reports(simulation: &Simulation, seed: u64) -> usize {
+    let mut reported_lines: BTreeMap<UsageWindow, &Vec<UsageLine>> = BTreeMap::new();
+    for (window, _, lines) in &simulation.reports {
+        let first = reported_lines.entry(*window).or_insert(lines);
+        assert_eq!(
+            *first, lines,
+            "seed {seed}: two different reports for window {window}"
+        );
     }
-    let fences: Vec<LogOffset> = world.reports.iter().map(|(_, fence, _)| *fence).collect();
-    if world.checks_fencing {
-        assert!(fences.is_sorted(), "seed {seed}: a late holder was heard");
+    let fences: Vec<LogOffset> = simulation
+        .reports
+        .iter()
+        .map(|(_, fence, _)| *fence)
+        .collect();
+    if simulation.checks_fencing {
+        assert!(
+            fences.is_sorted(),
+            "seed {seed}: a report of a superseded holder was accepted"
+        );
     }
-    let billed = figures.values().flat_map(|lines| lines.iter());
+    let billed = reported_lines.values().flat_map(|lines| lines.iter());
     let billed: u64 = billed.map(|line| line.prompt_tokens.count()).sum();
     assert_eq!(
-        billed, world.metered,
-        "seed {seed}: billed and metered differ"
+        billed, simulation.metered,
+        "seed {seed}: billed and metered tokens differ"
     );
-    world.reports.len() - figures.len()
+    simulation.reports.len() - reported_lines.len()
 }
 
-/// Holders of the duty are frozen at every step, believe that they are still in
-/// charge, lose answers, and report a window again. An operator would get two
-/// bills for one window if their figures differed.
+/// Holders of the duty are frozen at any step, assume that they still hold it, lose
+/// answers, and report a window again. An operator would get two bills for one window
+/// if the reports differed.
 #[test]
-fn a_window_has_one_figure_whoever_reports_it() {
+fn all_holders_report_the_same_usage_for_a_window() {
     check(true);
 }
 
-/// The same with a platform that accepts any report: a late holder is heard, but
-/// what it says is what its successor says.
+/// The same with a platform that accepts any report: it accepts one of a superseded
+/// holder too, but that equals its successor's.
 #[test]
-fn a_window_has_one_figure_also_if_the_platform_ignores_fencing() {
+fn all_holders_report_the_same_usage_if_the_platform_ignores_fencing() {
     check(false);
 }
 
-/// An entry tells only after a window was closed what it metered in it. Were it
-/// added there, the report and the figures would differ; were it dropped, the
-/// organisation's bill would miss it.
+/// An entry appends the usage that it metered in a window only after the window was
+/// closed. If it were added there, the report and the recorded usage would differ; if
+/// it were dropped, it would be missing from the organisation's bill.
 #[test]
 fn a_late_delta_counts_in_the_first_open_window() {
-    let mut world = World::new(1, true);
+    let mut simulation = Simulation::new(1, true);
     let time = ClockTime::from_millis(100_000);
-    world.change_holder(time);
+    simulation.change_holder(time);
     let delta = |tokens: u64| {
         LogRecord::Usage(UsageDelta {
             entry: instance(9),
@@ -323,15 +338,15 @@
             lines: vec![line(1, tokens)],
         })
     };
-    world.append(9, &delta(10));
+    simulation.append(9, &delta(10));
     let close = WindowClose {
         window: UsageWindow::new(7),
         fence: LogOffset::START,
     };
-    world.append(5, &LogRecord::WindowClose(close));
-    world.append(9, &delta(5));
+    simulation.append(5, &LogRecord::WindowClose(close));
+    simulation.append(9, &delta(5));
     let mut view = FleetView::new();
-    for entry in &world.log {
+    for entry in &simulation.log {
         view.apply(time, entry);
     }
     assert_eq!(
@@ -342,44 +357,44 @@
     assert_eq!(next, Some(UsageWindow::new(8)));
 }
 
-/// A holder is frozen before it closes a window and wakes up when a successor is
-/// in charge. Its close would cut the window short that the successor keeps open.
+/// A holder is frozen before it closes a window and resumes when a successor holds the
+/// duty. Its record would close a window early that the successor keeps open.
 #[test]
-fn a_holder_that_was_superseded_closes_no_window() {
-    let mut world = World::new(1, true);
+fn a_superseded_holder_closes_no_window() {
+    let mut simulation = Simulation::new(1, true);
     let time = ClockTime::from_millis(100_000);
-    world.change_holder(time);
-    world.change_holder(time);
+    simulation.change_holder(time);
+    simulation.change_holder(time);
     let close = WindowClose {
         window: UsageWindow::new(7),
         fence: LogOffset::START,
     };
-    world.append(5, &LogRecord::WindowClose(close));
+    simulation.append(5, &LogRecord::WindowClose(close));
     let mut view = FleetView::new();
-    for entry in &world.log {
+    for entry in &simulation.log {
         view.apply(time, entry);
     }
     assert_eq!(view.usage.last_closed(), None);
 }
 
 /// All processes are replaced and start from a checkpoint: a window must keep its
-/// figures and must not be opened again.
+/// usage and must not be opened again.
 #[test]
-fn a_checkpoint_keeps_windows_as_they_are() {
-    let mut world = World::new(3, true);
+fn a_checkpoint_preserves_windows() {
+    let mut simulation = Simulation::new(3, true);
     let mut reporters: Vec<Reporter> = (0..3).map(new_reporter).collect();
     for step in 0..400 {
         let time = ClockTime::from_millis(100_000 + step * 100);
-        world.meter(time);
+        simulation.meter(time);
         if step % 100 == 0 {
-            world.change_holder(time);
+            simulation.change_holder(time);
         }
         for reporter in &mut reporters {
-            world.turn(time, reporter);
+            simulation.run_step(time, reporter);
         }
     }
     let mut view = FleetView::new();
-    for entry in &world.log {
+    for entry in &simulation.log {
         view.apply(ClockTime::default(), entry);
     }
     assert!(view.usage.last_closed().is_some());
--- a/crates/core/tests/usage_metered.rs
+++ b/crates/core/tests/usage_metered.rs
@@ -1,4 +1,4 @@
-//! Counting requests by window and adding the counts up.
+//! Counting requests by usage window and summing the counts up.
 
 use bluebell_core::{
     ids::{InstanceId, OrganisationId},
@@ -21,8 +21,8 @@
 
 #[test]
 fn counts_that_are_published_twice_count_once() {
-    // The store carries out an append whose answer is lost, and the entry publishes
-    // the same counts again. The organisation must not pay twice.
+    // The store executes an append whose answer is lost, and the entry publishes the
+    // same counts again. The organisation must not pay twice.
     let mut meter = UsageMeter::new();
     let mut ledger = UsageLedger::new();
     for _ in 0..3 {
@@ -38,8 +38,8 @@
 
 #[test]
 fn counts_of_all_entries_and_of_all_their_starts_add_up() {
-    // An entry is killed in the middle of a window and starts again: what it had
-    // published before is not replaced by what it counts now.
+    // An entry is killed in the middle of a window and restarted: the counts that it
+    // had published before are not replaced by its new ones.
     let mut ledger = UsageLedger::new();
     let counts = |count| [(organisation("magnolia"), count)].into_iter().collect();
     ledger.record(WINDOW, writer("one", 1), counts(5));
@@ -51,24 +51,24 @@
 }
 
 #[test]
-fn what_was_counted_after_publishing_is_news_again() {
+fn counts_after_a_publication_are_unpublished() {
     let mut meter = UsageMeter::new();
     meter.count(WINDOW, &organisation("magnolia"));
-    let news = meter.unpublished();
-    // While the append is on its way, another request begins to run.
+    let unpublished = meter.unpublished();
+    // Another request starts to run while the append is in flight.
     meter.count(WINDOW, &organisation("magnolia"));
-    meter.mark_published(&news);
+    meter.mark_published(&unpublished);
     assert_eq!(meter.unpublished().len(), 1);
-    let news = meter.unpublished();
-    meter.mark_published(&news);
+    let unpublished = meter.unpublished();
+    meter.mark_published(&unpublished);
     assert!(meter.unpublished().is_empty());
     assert!(meter.has_counted(WINDOW));
 }
 
 #[test]
-fn a_window_is_whole_when_everybody_has_published_after_its_end() {
-    // An entry is cut off from the store and goes on serving. A report without its
-    // counts would be off by all that it served.
+fn a_window_is_complete_for_an_instance_that_published_after_its_end() {
+    // An entry is partitioned from the store and continues to serve. A report without
+    // its counts would miss all requests that it served.
     let one = InstanceId::new("one").unwrap();
     let mut ledger = UsageLedger::new();
     assert!(!ledger.is_complete(&one, WINDOW));
@@ -76,15 +76,15 @@
     assert!(!ledger.is_complete(&one, WINDOW));
     ledger.note_reached(one.clone(), WINDOW.next());
     assert!(ledger.is_complete(&one, WINDOW));
-    // A record that was read late does not take it back.
+    // A record that is read late does not revoke this.
     ledger.note_reached(one.clone(), WINDOW);
     assert!(ledger.is_complete(&one, WINDOW));
 }
 
-/// Guards against a report that doesn't wait for an instance which is heard through
-/// others only and has not published the end of the window yet.
+/// Guards against a report that doesn't wait for an instance that is known from other
+/// instances only and has not published the end of the window yet.
 #[test]
-fn an_instance_that_published_lately_and_not_after_the_window_is_pending() {
+fn an_instance_that_published_recently_but_not_after_the_window_is_pending() {
     let one = InstanceId::new("one").unwrap();
     let mut ledger = UsageLedger::new();
     let is_pending = |ledger: &UsageLedger| ledger.pending(WINDOW.next()).any(|id| *id == one);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn old_windows_are_let_go() {
+fn old_windows_are_dropped() {
     let mut meter = UsageMeter::new();
     for number in 0..50 {
         meter.count(UsageWindow::new(number), &organisation("magnolia"));
