--- a/crates/core/src/fleet/baselines.rs
+++ b/crates/core/src/fleet/baselines.rs
@@ -1,4 +1,4 @@
-//! Plain rules for the fleet, which the planner is measured against.
+//! Simple fleet policies, as baselines for the planner in simulations.
 
 use std::collections::BTreeMap;
 
@@ -9,18 +9,19 @@
     records::CapacityKind,
 };
 
-/// A fleet of fixed size, spread evenly; what is lost is started again.
+/// A policy that keeps a fixed number of endpoints, spread evenly over the failure
+/// domains, and replaces lost ones.
 pub fn fixed_fleet(
     sizes: BTreeMap<ServiceName, FleetSize>,
 ) -> impl FnMut(ClockTime, &FleetInputs) -> Vec<PlannedChange> {
     move |_, inputs| {
         let mut changes = Vec::new();
         for (service, size) in &sizes {
-            for (capacity, wanted) in [
+            for (capacity, target) in [
                 (CapacityKind::Reserved, size.reserved),
                 (CapacityKind::Preemptible, size.preemptible),
             ] {
-                changes.extend(refill(inputs, service, capacity, wanted.count()));
+                changes.extend(refill(inputs, service, capacity, target.count()));
             }
         }
         changes
@@ -31,27 +32,27 @@
     inputs: &FleetInputs,
     service: &ServiceName,
     capacity: CapacityKind,
-    wanted: u64,
+    target: u64,
 ) -> Vec<PlannedChange> {
-    let staying = |domain: &crate::ids::FailureDomain| {
-        let counts = |e: &&crate::fleet::FleetEndpoint| {
+    let running = |domain: &crate::ids::FailureDomain| {
+        let is_counted = |e: &&crate::fleet::FleetEndpoint| {
             e.service == *service
                 && e.capacity == capacity
                 && e.failure_domain == *domain
                 && e.stage != EndpointStage::Leaving
         };
-        inputs.endpoints.iter().filter(counts).count() as u64
+        inputs.endpoints.iter().filter(is_counted).count() as u64
     };
     let domains = inputs.failure_domains.len() as u64;
     let mut changes = Vec::new();
     for (index, domain) in inputs.failure_domains.iter().enumerate() {
-        let share = wanted / domains + u64::from((index as u64) < wanted % domains);
-        for _ in staying(domain)..share {
+        let share = target / domains + u64::from((index as u64) < target % domains);
+        for _ in running(domain)..share {
             changes.push(PlannedChange::Start {
                 service: service.clone(),
                 failure_domain: domain.clone(),
                 capacity,
-                reason: format!("`{service}` keeps {share} in `{domain}`"),
+                reason: format!("`{service}` has a fixed size of {share} endpoints in `{domain}`"),
             });
         }
     }
--- a/crates/core/src/fleet/messages.rs
+++ b/crates/core/src/fleet/messages.rs
@@ -1,4 +1,4 @@
-//! What the fleet slice is told and what it answers.
+//! Settings, inputs and results of the fleet planner.
 
 use std::collections::BTreeMap;
 
@@ -11,31 +11,31 @@
     units::WorkCost,
 };
 
-/// How the fleet is sized.
+/// Settings for the size of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetSettings {
-    /// Percent of its time that an endpoint may be busy with work that can't
-    /// wait, so that it answers in time.
+    /// Maximum percentage of its time that an endpoint is busy with work that can't wait,
+    /// so that it answers in time.
     pub utilisation: u64,
-    /// Percent of its time that an endpoint may be busy with deferrable work.
+    /// Maximum percentage of its time that an endpoint is busy with deferrable work.
     pub deferrable_utilisation: u64,
-    /// Percent of its time that an endpoint may be busy with work that can't
-    /// wait just after a failure domain's preemptible endpoints are gone.
+    /// Maximum percentage of its time that an endpoint is busy with work that can't wait
+    /// just after a failure domain has lost its preemptible endpoints.
     pub loss_utilisation: u64,
-    /// What a preemptible endpoint costs, in percent of a reserved one.
+    /// The cost of a preemptible endpoint, in percent of that of a reserved one.
     pub preemptible_price: u64,
-    /// Reserved endpoints of each service in each failure domain, at least.
+    /// Minimum number of reserved endpoints of each service in each failure domain.
     #[serde(rename = "least_reserved")]
     pub min_reserved: u64,
-    /// Endpoints that may fetch weights at the same time.
+    /// Maximum number of endpoints that fetch weights at the same time.
     #[serde(rename = "starts_at_once")]
     pub max_concurrent_starts: u64,
-    /// How long an endpoint runs at least before it is stopped.
+    /// Minimum time that an endpoint runs before it is stopped.
     #[serde(rename = "least_life")]
     pub min_lifetime: TimeSpan,
-    /// For how long the cheaper kind isn't asked for in a failure domain where
-    /// it was not to be had or was reclaimed.
+    /// How long no preemptible endpoint is ordered in a failure domain where one was
+    /// refused or reclaimed.
     #[serde(rename = "unavailable_for")]
     pub unavailable_retry_after: TimeSpan,
 }
@@ -55,22 +55,22 @@
     }
 }
 
-/// Work that arrives in a second, in milliseconds of an endpoint's time: 1,000
-/// keep one endpoint busy.
+/// Work that arrives per second, in milliseconds of one endpoint's time: 1,000 ms keep one
+/// endpoint busy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct WorkDemand {
     /// Work that may run only once, and repeatable work of services that may
     /// not run on preemptible capacity.
     pub reserved_only: WorkCost,
-    /// Other work that somebody waits for.
+    /// Other work of interactive priority.
     pub interactive: WorkCost,
-    /// Other work that can wait.
+    /// Other work of deferrable priority.
     pub deferrable: WorkCost,
 }
 
 impl WorkDemand {
-    /// The greater of both in each part.
+    /// The maximum of both demands, by kind of work.
     pub fn max(self, other: WorkDemand) -> WorkDemand {
         WorkDemand {
             reserved_only: self.reserved_only.max(other.reserved_only),
@@ -79,93 +79,94 @@
         }
     }
 
-    /// What can't wait.
+    /// The work that can't wait: `reserved_only` and `interactive`.
     pub fn urgent(self) -> WorkCost {
         self.reserved_only + self.interactive
     }
 }
 
-/// What one service needs.
+/// The demand for one service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceNeed {
     /// The service.
     pub service: ServiceName,
-    /// What arrives now.
+    /// The current demand.
     pub now: WorkDemand,
-    /// The most that arrived at any time of the last quarter of an hour or so.
+    /// The maximum demand during about the last 15 minutes.
     pub recent_peak: WorkDemand,
 }
 
 impl ServiceNeed {
-    /// What the fleet is sized for: rising demand counts at once, falling demand
-    /// only when the recent peak has passed.
+    /// The demand that the fleet is sized for: rising demand is followed at once, falling
+    /// demand only when the recent peak has passed.
     pub fn sizing_demand(&self) -> WorkDemand {
         self.now.max(self.recent_peak)
     }
 }
 
-/// Where an endpoint stands in its life.
+/// The stage in an endpoint's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointStage {
-    /// Ordered, or fetching weights.
+    /// It was ordered, or is fetching weights.
     Starting,
-    /// Serving.
+    /// It serves requests.
     Ready,
-    /// Marked as leaving, reclaimed or being stopped.
+    /// It is draining, reclaimed or being stopped.
     Leaving,
 }
 
-/// An endpoint as the planner sees it.
+/// The state of an endpoint, as input to the planner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetEndpoint {
-    /// Which.
+    /// The id of the endpoint.
     pub endpoint: EndpointId,
-    /// For which service.
+    /// The service that it serves.
     pub service: ServiceName,
-    /// Where.
+    /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// On what.
+    /// Its kind of capacity.
     pub capacity: CapacityKind,
-    /// Where it stands.
+    /// Its stage.
     pub stage: EndpointStage,
-    /// Since when it is known.
+    /// When it was first observed.
     pub since: ClockTime,
 }
 
-/// What the planner goes by.
+/// The input to the planner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetInputs {
     /// The failure domains that have endpoints.
     pub failure_domains: Vec<FailureDomain>,
-    /// What each service needs.
+    /// The demand for each service.
     pub needs: Vec<ServiceNeed>,
     /// The endpoints that run, start or leave.
     pub endpoints: Vec<FleetEndpoint>,
-    /// When the cheaper kind was last refused or reclaimed, by failure domain.
+    /// When a preemptible endpoint was last refused or reclaimed, by failure domain.
     pub preemptible_lost: BTreeMap<FailureDomain, ClockTime>,
 }
 
-/// A change of the fleet.
+/// A planned change of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "change", rename_all = "snake_case")]
 pub enum PlannedChange {
     /// Start an endpoint.
     Start {
-        /// For which service.
+        /// The service that it will serve.
         service: ServiceName,
-        /// Where.
+        /// The failure domain to start it in.
         failure_domain: FailureDomain,
-        /// On what.
+        /// The kind of capacity to start it on.
         capacity: CapacityKind,
-        /// Why, for the journal.
+        /// The reason, for the decision record.
         reason: String,
     },
-    /// Stop an endpoint: mark it, wait until it is observed empty, then order.
+    /// Stop an endpoint: set its drain mark, wait until it is observed empty, then send the
+    /// order.
     Stop {
-        /// Which.
+        /// The endpoint to stop.
         endpoint: EndpointId,
-        /// Why, for the journal.
+        /// The reason, for the decision record.
         reason: String,
     },
 }
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -1,18 +1,18 @@
-//! How many endpoints of each kind run in each failure domain.
+//! Plans the number of endpoints of each kind in each failure domain.
 //!
-//! [`FleetPlanner`] sizes each service's fleet for its objective at the least
-//! cost. The cheaper kind can be reclaimed a whole failure domain at a time, so
-//! its share is limited by what the rest could absorb: with all preemptible
-//! endpoints of any one failure domain gone at once, the others must still
-//! carry the work that can't wait. Work that may not be repeated counts against
-//! reserved endpoints only, and each failure domain keeps one of those, as it
-//! may be cut off and has to go on serving.
+//! [`FleetPlanner`] sizes the fleet of each service for its objective at minimum cost.
+//! Preemptible endpoints are cheaper, but all of those in a failure domain can be
+//! reclaimed at once. So their share is limited: when any one failure domain loses all
+//! its preemptible endpoints, the remaining endpoints must still have the capacity for
+//! the work that can't wait. Work that may not be repeated runs on reserved endpoints
+//! only, and each failure domain keeps at least one of those, because it must continue
+//! to serve when it is partitioned from the others.
 //!
-//! The plan follows rising demand at once and falling demand late: starting an
-//! endpoint takes a minute, and a fleet that shrinks with every lull pays for
-//! it with late answers. Starts keep to what the weight store lets through at
-//! once. Where the cheaper kind isn't to be had, the plan does without it until
-//! some time has passed.
+//! The plan follows rising demand at once and falling demand with a delay: starting an
+//! endpoint takes a minute, and a fleet that shrinks in every lull would answer late
+//! afterwards. The number of concurrent starts is limited by the capacity of the weight
+//! store. A failure domain in which preemptible endpoints are unavailable gets none
+//! until some time has passed.
 
 pub mod baselines;
 mod messages;
@@ -24,4 +24,4 @@
     WorkDemand,
 };
 pub use planner::FleetPlanner;
-pub use sizing::{FleetSize, carries, cheapest_size, survives_reclaim};
+pub use sizing::{FleetSize, cheapest_size, has_capacity, survives_reclaim};
--- a/crates/core/src/fleet/planner.rs
+++ b/crates/core/src/fleet/planner.rs
@@ -1,4 +1,4 @@
-//! Which endpoints to start and stop.
+//! Decides which endpoints to start and to stop.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,19 @@
     clock::ClockTime,
     fleet::{
         EndpointStage, FleetEndpoint, FleetInputs, FleetSettings, FleetSize, PlannedChange,
-        ServiceNeed, WorkDemand, carries, cheapest_size, survives_reclaim,
+        ServiceNeed, WorkDemand, cheapest_size, has_capacity, survives_reclaim,
     },
     ids::{FailureDomain, ServiceName},
     records::CapacityKind,
 };
 
-/// Plans the fleet.
+/// Plans the size of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetPlanner {
     settings: FleetSettings,
 }
 
-/// The endpoints of one service, by kind and failure domain.
+/// The endpoints of one service that are not leaving.
 #[derive(Clone, Debug, Default)]
 struct ServiceFleet<'a> {
     staying: Vec<&'a FleetEndpoint>,
@@ -39,8 +39,8 @@
     }
 
     fn of(&self, capacity: CapacityKind) -> impl Iterator<Item = &'a FleetEndpoint> {
-        let kind = move |e: &&FleetEndpoint| e.capacity == capacity;
-        self.staying.iter().copied().filter(kind)
+        let is_of_kind = move |e: &&FleetEndpoint| e.capacity == capacity;
+        self.staying.iter().copied().filter(is_of_kind)
     }
 
     fn size(&self) -> FleetSize {
@@ -50,30 +50,30 @@
         )
     }
 
-    /// How many endpoints of a kind each of `domains` has.
-    fn spread(
+    /// The number of endpoints of a kind in each of `domains`.
+    fn count_by_domain(
         &self,
         capacity: CapacityKind,
         domains: &[FailureDomain],
     ) -> BTreeMap<FailureDomain, u64> {
-        let mut spread: BTreeMap<FailureDomain, u64> =
+        let mut counts: BTreeMap<FailureDomain, u64> =
             domains.iter().map(|domain| (domain.clone(), 0)).collect();
         for endpoint in self.of(capacity) {
-            if let Some(count) = spread.get_mut(&endpoint.failure_domain) {
+            if let Some(count) = counts.get_mut(&endpoint.failure_domain) {
                 *count += 1;
             }
         }
-        spread
+        counts
     }
 }
 
 impl FleetPlanner {
-    /// A planner with these settings.
+    /// Creates a planner with these settings.
     pub fn new(settings: FleetSettings) -> FleetPlanner {
         FleetPlanner { settings }
     }
 
-    /// The changes to order now.
+    /// Returns the changes to order at `now`.
     pub fn plan(&self, now: ClockTime, inputs: &FleetInputs) -> Vec<PlannedChange> {
         let starting = inputs
             .endpoints
@@ -89,15 +89,15 @@
         changes
     }
 
-    /// The size that a service should have now.
+    /// The number of endpoints that a service should have at `now`.
     pub fn size(&self, now: ClockTime, inputs: &FleetInputs, need: &ServiceNeed) -> FleetSize {
         let demand = need.sizing_demand();
-        let cheap = self.cheap_domains(now, inputs).len() as u64;
+        let preemptible = self.preemptible_domains(now, inputs).len() as u64;
         let domains = inputs.failure_domains.len() as u64;
-        cheapest_size(demand, domains, cheap, &self.settings)
+        cheapest_size(demand, domains, preemptible, &self.settings)
     }
 
-    fn cheap_domains(&self, now: ClockTime, inputs: &FleetInputs) -> Vec<FailureDomain> {
+    fn preemptible_domains(&self, now: ClockTime, inputs: &FleetInputs) -> Vec<FailureDomain> {
         let available = |domain: &&FailureDomain| {
             let lost = inputs.preemptible_lost.get(*domain);
             lost.is_none_or(|at| now.since(*at) >= self.settings.unavailable_retry_after)
@@ -118,25 +118,25 @@
         starts: &mut u64,
     ) -> Vec<PlannedChange> {
         let fleet = ServiceFleet::new(&need.service, inputs);
-        let (wanted, has) = (self.size(now, inputs, need), fleet.size());
-        let cheap_domains = self.cheap_domains(now, inputs);
+        let (target, current) = (self.size(now, inputs, need), fleet.size());
+        let preemptible_domains = self.preemptible_domains(now, inputs);
         let mut changes = Vec::new();
-        for (capacity, wanted_count, domains) in [
+        for (capacity, target_count, domains) in [
             (
                 CapacityKind::Reserved,
-                wanted.reserved,
+                target.reserved,
                 &inputs.failure_domains,
             ),
             (
                 CapacityKind::Preemptible,
-                wanted.preemptible,
-                &cheap_domains,
+                target.preemptible,
+                &preemptible_domains,
             ),
         ] {
-            let mut spread = fleet.spread(capacity, domains);
-            for _ in fleet.count(capacity)..wanted_count.count() {
-                let least = spread.iter_mut().min_by_key(|(_, count)| **count);
-                let Some((domain, count)) = least else { break };
+            let mut counts = fleet.count_by_domain(capacity, domains);
+            for _ in fleet.count(capacity)..target_count.count() {
+                let min = counts.iter_mut().min_by_key(|(_, count)| **count);
+                let Some((domain, count)) = min else { break };
                 if *starts == 0 {
                     return changes;
                 }
@@ -146,7 +146,10 @@
                     service: need.service.clone(),
                     failure_domain: domain.clone(),
                     capacity,
-                    reason: format!("`{}` has {has} endpoints and needs {wanted}", need.service),
+                    reason: format!(
+                        "`{}` has {current} endpoints and needs {target}",
+                        need.service
+                    ),
                 });
             }
         }
@@ -157,7 +160,7 @@
         self.stop(
             now,
             &fleet,
-            wanted,
+            target,
             demand,
             inputs.failure_domains.len() as u64,
         )
@@ -165,14 +168,14 @@
         .collect()
     }
 
-    /// One endpoint to stop, if more run than the demand of the recent past
-    /// needed. Nothing is stopped while something starts: what starts may fail
-    /// to, and then what runs is needed.
+    /// Returns one endpoint to stop, if more run than the recent demand requires. No
+    /// endpoint is stopped while another one is starting: the start may fail, and then the
+    /// running endpoint is needed.
     fn stop(
         &self,
         now: ClockTime,
         fleet: &ServiceFleet<'_>,
-        wanted: FleetSize,
+        target: FleetSize,
         demand: WorkDemand,
         domains: u64,
     ) -> Option<PlannedChange> {
@@ -180,24 +183,26 @@
         if fleet.staying.iter().any(is_starting) {
             return None;
         }
-        let has = fleet.size();
-        let capacity = if has.reserved > wanted.reserved {
+        let current = fleet.size();
+        let capacity = if current.reserved > target.reserved {
             CapacityKind::Reserved
-        } else if has.preemptible > wanted.preemptible {
+        } else if current.preemptible > target.preemptible {
             CapacityKind::Preemptible
         } else {
             return None;
         };
-        let left = match capacity {
+        let remaining = match capacity {
             CapacityKind::Reserved => {
-                FleetSize::new(has.reserved.count() - 1, has.preemptible.count())
+                FleetSize::new(current.reserved.count() - 1, current.preemptible.count())
             }
             CapacityKind::Preemptible => {
-                FleetSize::new(has.reserved.count(), has.preemptible.count() - 1)
+                FleetSize::new(current.reserved.count(), current.preemptible.count() - 1)
             }
         };
         let settings = &self.settings;
-        if !carries(left, demand, settings) || !survives_reclaim(left, demand, domains, settings) {
+        if !has_capacity(remaining, demand, settings)
+            || !survives_reclaim(remaining, demand, domains, settings)
+        {
             return None;
         }
         let mut by_domain: BTreeMap<&FailureDomain, Vec<&FleetEndpoint>> = BTreeMap::new();
@@ -205,13 +210,13 @@
             let domain = by_domain.entry(&endpoint.failure_domain).or_default();
             domain.push(endpoint);
         }
-        let fullest = by_domain.values().max_by_key(|endpoints| endpoints.len())?;
+        let largest = by_domain.values().max_by_key(|endpoints| endpoints.len())?;
         let old_enough = |e: &&&FleetEndpoint| now.since(e.since) >= self.settings.min_lifetime;
-        let endpoint = fullest.iter().filter(old_enough).max_by_key(|e| e.since)?;
+        let endpoint = largest.iter().filter(old_enough).max_by_key(|e| e.since)?;
         Some(PlannedChange::Stop {
             endpoint: endpoint.endpoint.clone(),
             reason: format!(
-                "`{}` has {has} endpoints and needs {wanted}",
+                "`{}` has {current} endpoints and needs {target}",
                 endpoint.service
             ),
         })
--- a/crates/core/src/fleet/sizing.rs
+++ b/crates/core/src/fleet/sizing.rs
@@ -1,4 +1,4 @@
-//! The cheapest fleet that carries a demand and survives a reclaim.
+//! Finds the cheapest fleet that has the capacity for a demand, also after a reclaim.
 
 use std::fmt;
 
@@ -7,20 +7,20 @@
     units::EndpointCount,
 };
 
-/// Milliseconds that one endpoint works in a second.
-const ENDPOINT_WORK: u64 = 1_000;
+/// Milliseconds of work that one endpoint does per second.
+const ENDPOINT_WORK_MS: u64 = 1_000;
 
-/// How many endpoints of each kind a service has, over all failure domains.
+/// The number of endpoints of each kind of a service, over all failure domains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Endpoints that are kept until we stop them.
+    /// Endpoints that are kept until an order stops them.
     pub reserved: EndpointCount,
-    /// Endpoints that can be reclaimed.
+    /// Endpoints that the platform may reclaim.
     pub preemptible: EndpointCount,
 }
 
 impl FleetSize {
-    /// A size of this many endpoints of each kind.
+    /// Creates a size with these numbers of endpoints.
     pub fn new(reserved: u64, preemptible: u64) -> FleetSize {
         FleetSize {
             reserved: EndpointCount::new(reserved),
@@ -28,12 +28,12 @@
         }
     }
 
-    /// All endpoints.
+    /// The number of all endpoints.
     pub fn total(self) -> u64 {
         self.reserved.count() + self.preemptible.count()
     }
 
-    /// What it costs, in percent of one reserved endpoint.
+    /// The cost, in percent of the cost of one reserved endpoint.
     pub fn cost(self, settings: &FleetSettings) -> u64 {
         self.reserved.count() * 100 + self.preemptible.count() * settings.preemptible_price
     }
@@ -45,14 +45,15 @@
     }
 }
 
-/// How many endpoints `work` keeps busy at `utilisation` percent.
+/// The number of endpoints needed for `work` at `utilisation` percent. `work` is in
+/// milliseconds of one endpoint's time per second.
 fn endpoints_for(work: u64, utilisation: u64) -> u64 {
-    (work * 100).div_ceil(ENDPOINT_WORK * utilisation.max(1))
+    (work * 100).div_ceil(ENDPOINT_WORK_MS * utilisation.max(1))
 }
 
-/// Whether the endpoints that are left carry what can't wait, once the failure
-/// domain with most preemptible ones has lost them all. `domains` is how many
-/// failure domains the preemptible endpoints are spread over.
+/// Whether the remaining endpoints have the capacity for the work that can't wait after
+/// the failure domain with the most preemptible endpoints has lost all of them. `domains`
+/// is the number of failure domains that the preemptible endpoints are spread over.
 pub fn survives_reclaim(
     size: FleetSize,
     demand: WorkDemand,
@@ -60,54 +61,56 @@
     settings: &FleetSettings,
 ) -> bool {
     let lost = size.preemptible.count().div_ceil(domains.max(1));
-    let left = size.total() - lost;
-    left * ENDPOINT_WORK * settings.loss_utilisation >= demand.urgent().count() * 100
+    let remaining = size.total() - lost;
+    remaining * ENDPOINT_WORK_MS * settings.loss_utilisation >= demand.urgent().count() * 100
 }
 
-/// Whether `size` carries `demand` while all of it runs.
-pub fn carries(size: FleetSize, demand: WorkDemand, settings: &FleetSettings) -> bool {
+/// Whether `size` has the capacity for `demand` while all endpoints run.
+pub fn has_capacity(size: FleetSize, demand: WorkDemand, settings: &FleetSettings) -> bool {
     let urgent = demand.urgent().count() * 100;
     let deferrable = demand.deferrable.count() * 100;
-    // In endpoints times utilisations, to stay with whole numbers.
+    // Both sides are multiplied by the utilisations, to avoid fractions.
     let needed = urgent * settings.deferrable_utilisation + deferrable * settings.utilisation;
     let offered =
-        size.total() * ENDPOINT_WORK * settings.utilisation * settings.deferrable_utilisation;
-    let reserved = size.reserved.count() * ENDPOINT_WORK * settings.utilisation;
+        size.total() * ENDPOINT_WORK_MS * settings.utilisation * settings.deferrable_utilisation;
+    let reserved = size.reserved.count() * ENDPOINT_WORK_MS * settings.utilisation;
     offered >= needed && reserved >= demand.reserved_only.count() * 100
 }
 
-/// The cheapest size that carries `demand`, survives a reclaim, and has the
-/// least number of reserved endpoints in each of `domains` failure domains;
-/// preemptible endpoints are to be had in `cheap_domains` of them.
+/// The cheapest size that has the capacity for `demand`, also after a reclaim, and the
+/// minimum number of reserved endpoints in each of `domains` failure domains. Preemptible
+/// endpoints are available in `preemptible_domains` of them.
 pub fn cheapest_size(
     demand: WorkDemand,
     domains: u64,
-    cheap_domains: u64,
+    preemptible_domains: u64,
     settings: &FleetSettings,
 ) -> FleetSize {
-    let least = settings.min_reserved * domains;
+    let min_reserved = settings.min_reserved * domains;
     let urgent = endpoints_for(demand.urgent().count(), settings.utilisation);
     let deferrable = endpoints_for(demand.deferrable.count(), settings.deferrable_utilisation);
-    let most = least.max(urgent + deferrable);
-    let mut best = FleetSize::new(most, 0);
-    if cheap_domains == 0 {
-        let fits = |reserved: &u64| carries(FleetSize::new(*reserved, 0), demand, settings);
-        let reserved = (least..=most).find(fits).unwrap_or(most);
+    let max_reserved = min_reserved.max(urgent + deferrable);
+    let mut best = FleetSize::new(max_reserved, 0);
+    if preemptible_domains == 0 {
+        let fits = |reserved: &u64| has_capacity(FleetSize::new(*reserved, 0), demand, settings);
+        let reserved = (min_reserved..=max_reserved)
+            .find(fits)
+            .unwrap_or(max_reserved);
         return FleetSize::new(reserved, 0);
     }
-    for reserved in least..=most {
-        // Work that may run on the cheaper kind is also the most that can be there.
-        let cheap_work = (demand.interactive + demand.deferrable).count();
-        let most_cheap = endpoints_for(cheap_work, settings.utilisation);
-        let fits = |cheap: &u64| {
-            let size = FleetSize::new(reserved, *cheap);
-            carries(size, demand, settings)
-                && survives_reclaim(size, demand, cheap_domains, settings)
+    for reserved in min_reserved..=max_reserved {
+        // The work that may run on preemptible endpoints limits their number.
+        let preemptible_work = (demand.interactive + demand.deferrable).count();
+        let max_preemptible = endpoints_for(preemptible_work, settings.utilisation);
+        let fits = |preemptible: &u64| {
+            let size = FleetSize::new(reserved, *preemptible);
+            has_capacity(size, demand, settings)
+                && survives_reclaim(size, demand, preemptible_domains, settings)
         };
-        let Some(cheap) = (0..=most_cheap).find(fits) else {
+        let Some(preemptible) = (0..=max_preemptible).find(fits) else {
             continue;
         };
-        let size = FleetSize::new(reserved, cheap);
+        let size = FleetSize::new(reserved, preemptible);
         if size.cost(settings) < best.cost(settings) {
             best = size;
         }
--- a/crates/core/src/roles/baselines.rs
+++ b/crates/core/src/roles/baselines.rs
@@ -1,4 +1,4 @@
-//! Plain rules for roles, which the planner is measured against.
+//! Simple role policies, as baselines for the planner in simulations.
 
 use crate::{
     clock::ClockTime,
@@ -6,13 +6,13 @@
     roles::{PlannedRoleChange, RoleInputs, planner::serving_counts},
 };
 
-/// Roles stay as they were set up.
+/// A policy that never changes a role.
 pub fn static_roles() -> impl FnMut(ClockTime, &RoleInputs) -> Vec<PlannedRoleChange> {
     |_, _| Vec::new()
 }
 
-/// Roles follow the demand of the last seconds at once, whatever a change costs:
-/// the engines that don't mix are divided as the work is.
+/// A policy that follows the demand of the short window at once, regardless of the cost
+/// of a change: it splits the engines with separate roles in proportion to the work.
 pub fn eager_roles() -> impl FnMut(ClockTime, &RoleInputs) -> Vec<PlannedRoleChange> {
     |_, inputs| {
         let counts = serving_counts(&inputs.engines);
@@ -22,19 +22,19 @@
         if engines < 2 || prefill + decode == 0 {
             return Vec::new();
         }
-        let wanted = (engines * prefill + (prefill + decode) / 2) / (prefill + decode);
-        let wanted = wanted.clamp(1, engines - 1);
-        let (from, to, count) = match wanted.cmp(&counts.prefill) {
+        let wanted_prefill = (engines * prefill + (prefill + decode) / 2) / (prefill + decode);
+        let wanted_prefill = wanted_prefill.clamp(1, engines - 1);
+        let (from, to, count) = match wanted_prefill.cmp(&counts.prefill) {
             std::cmp::Ordering::Equal => return Vec::new(),
             std::cmp::Ordering::Greater => (
                 EngineRole::Decode,
                 EngineRole::Prefill,
-                wanted - counts.prefill,
+                wanted_prefill - counts.prefill,
             ),
             std::cmp::Ordering::Less => (
                 EngineRole::Prefill,
                 EngineRole::Decode,
-                counts.prefill - wanted,
+                counts.prefill - wanted_prefill,
             ),
         };
         let free = inputs
@@ -46,7 +46,7 @@
                 endpoint: engine.endpoint.clone(),
                 from,
                 to,
-                reason: format!("{wanted} of {engines} engines prefill"),
+                reason: format!("{wanted_prefill} of {engines} engines should prefill"),
             })
             .collect()
     }
--- a/crates/core/src/roles/demand.rs
+++ b/crates/core/src/roles/demand.rs
@@ -1,4 +1,4 @@
-//! How many tokens of prompt and output are asked for in a second.
+//! Estimates the requested prompt and output tokens per second.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,29 +10,29 @@
     units::{TokenCount, TokenRate},
 };
 
-/// The length of one bucket of arrivals.
+/// The duration of one bucket of arrivals.
 const BUCKET: TimeSpan = TimeSpan::from_secs(1);
-/// The short window: what is asked for now.
+/// The short averaging window, for the current demand.
 pub const SHORT_WINDOW: TimeSpan = TimeSpan::from_secs(15);
-/// The long window: what has been asked for all along.
+/// The long averaging window, for the lasting demand.
 pub const LONG_WINDOW: TimeSpan = TimeSpan::from_secs(45);
-/// The share of the allowed output that is expected at first, in thousandths.
-const FIRST_OUTPUT_SHARE: u64 = 500;
-/// How much a new answer's length counts for the expected output, in thousandths.
+/// The initial estimate of the delivered share of the maximum output, in thousandths.
+const INITIAL_OUTPUT_SHARE: u64 = 500;
+/// The weight of a new answer in the smoothed output share, in thousandths.
 const OUTPUT_SHARE_GAIN: u64 = 10;
 
-/// Prompt and output tokens asked for in a second.
+/// Requested prompt and output tokens per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TokenDemand {
     /// Prompt tokens to prefill.
     pub prefill: TokenRate,
-    /// Output tokens that callers will stay for.
+    /// Output tokens that callers are expected to receive before they cancel.
     pub decode: TokenRate,
 }
 
 impl TokenDemand {
-    /// The sum of two demands.
+    /// Returns the sum of two demands.
     pub fn plus(self, other: TokenDemand) -> TokenDemand {
         TokenDemand {
             prefill: self.prefill + other.prefill,
@@ -41,15 +41,15 @@
     }
 }
 
-/// The demand for one pool, at one entry or in all.
+/// The demand for one pool, at one entry or summed over all entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolDemand {
     /// The pool.
     pub pool: RoutePool,
-    /// What is asked for now.
+    /// The demand of the short window.
     pub short: TokenDemand,
-    /// What has been asked for all along.
+    /// The demand of the long window.
     pub long: TokenDemand,
 }
 
@@ -66,7 +66,7 @@
     output_share: u64,
 }
 
-/// Counts arrivals and cancels at one entry.
+/// Estimates the demand at one entry from arrivals, cancellations and ends of requests.
 #[derive(Clone, Debug, Default)]
 pub struct DemandEstimator {
     pools: BTreeMap<RoutePool, PoolArrivals>,
@@ -74,13 +74,13 @@
 }
 
 impl DemandEstimator {
-    /// Nothing has arrived yet.
+    /// Creates an estimator without arrivals.
     pub fn new() -> DemandEstimator {
         DemandEstimator::default()
     }
 
-    /// A request arrived, whether it is admitted or not. `cached` tokens of its
-    /// prompt are expected to be in a prefix cache.
+    /// Records the arrival of a request, whether it is admitted or not. `cached` tokens of
+    /// its prompt are expected to be in a prefix cache.
     pub fn note_arrival(
         &mut self,
         now: ClockTime,
@@ -95,8 +95,8 @@
         bucket.output += max_output.count();
     }
 
-    /// The caller left before the prompt was sent: it is no demand any more. A
-    /// refusal by us is none of this, as the demand is still there.
+    /// Records that the caller cancelled the request before the prompt was sent, which
+    /// removes it from the demand. A request that the entry refused stays in the demand.
     pub fn note_queued_cancel(
         &mut self,
         now: ClockTime,
@@ -109,8 +109,8 @@
         bucket.output = bucket.output.saturating_sub(max_output.count());
     }
 
-    /// A started request ended, by itself or by its caller, with `delivered` of
-    /// `max_output` tokens: how much of the allowed output callers stay for.
+    /// Records the end of a started request, completed or cancelled, after `delivered` of
+    /// `max_output` tokens. This updates the expected share of the maximum output.
     pub fn note_end(&mut self, pool: &RoutePool, max_output: TokenCount, delivered: TokenCount) {
         if max_output == TokenCount::ZERO {
             return;
@@ -119,11 +119,11 @@
             return;
         };
         let share = (delivered.count() * 1_000 / max_output.count()).min(1_000);
-        let kept = arrivals.output_share * (1_000 - OUTPUT_SHARE_GAIN);
-        arrivals.output_share = (kept + share * OUTPUT_SHARE_GAIN) / 1_000;
+        let retained = arrivals.output_share * (1_000 - OUTPUT_SHARE_GAIN);
+        arrivals.output_share = (retained + share * OUTPUT_SHARE_GAIN) / 1_000;
     }
 
-    /// The demand for each pool, to be added up over all entries.
+    /// The demand for each pool at this entry.
     pub fn demands(&self, now: ClockTime) -> Vec<PoolDemand> {
         let demand = |(pool, arrivals): (&RoutePool, &PoolArrivals)| PoolDemand {
             pool: pool.clone(),
@@ -134,8 +134,8 @@
     }
 
     fn rates(&self, now: ClockTime, arrivals: &PoolArrivals, window: TimeSpan) -> TokenDemand {
-        let seen = self.started_at.map_or(TimeSpan::ZERO, |at| now.since(at));
-        let window = window.min(seen).max(BUCKET);
+        let observed = self.started_at.map_or(TimeSpan::ZERO, |at| now.since(at));
+        let window = window.min(observed).max(BUCKET);
         let first = (now - window).as_millis() / BUCKET.as_millis();
         let recent = arrivals.buckets.iter().filter(|b| b.number >= first);
         let (prompt, output) = recent.fold((0, 0), |sum, bucket| {
@@ -152,13 +152,16 @@
     fn bucket(&mut self, now: ClockTime, pool: &RoutePool) -> &mut DemandBucket {
         let number = now.as_millis() / BUCKET.as_millis();
         if !self.pools.contains_key(pool) {
-            let fresh = PoolArrivals {
+            let new_pool = PoolArrivals {
                 buckets: VecDeque::new(),
-                output_share: FIRST_OUTPUT_SHARE,
+                output_share: INITIAL_OUTPUT_SHARE,
             };
-            self.pools.insert(pool.clone(), fresh);
+            self.pools.insert(pool.clone(), new_pool);
         }
-        let arrivals = self.pools.get_mut(pool).expect("it was just inserted");
+        let arrivals = self
+            .pools
+            .get_mut(pool)
+            .expect("the pool was inserted above");
         let buckets = &mut arrivals.buckets;
         if buckets.back().is_none_or(|bucket| bucket.number < number) {
             buckets.push_back(DemandBucket {
--- a/crates/core/src/roles/mod.rs
+++ b/crates/core/src/roles/mod.rs
@@ -1,16 +1,15 @@
-//! Which engines do prefill, decode or both.
+//! Assigns the roles prefill, decode or mixed to engines.
 //!
-//! The mix of prompt and output tokens swings within minutes, and a change of
-//! role takes an engine away for seconds. So a change must pay for itself:
-//! [`RolePlanner`] compares what the fleet could serve of the demand with and
-//! without the change over a horizon, takes off what is lost while the engine
-//! changes, and does nothing unless the rest is a real gain, by the demand of
-//! the last seconds *and* of the last minute. The first answer to a shift is
-//! the mixed engines' own batches.
+//! The ratio of prompt to output tokens varies within minutes, and a change of role
+//! makes an engine unavailable for seconds. So the benefit of a change must exceed its
+//! cost: [`RolePlanner`] compares the servable share of the demand with and without the
+//! change over a horizon and subtracts the loss while the engine changes. It makes the
+//! change only if a minimum gain remains by the demand of both the short *and* the long
+//! window. Until then, mixed engines absorb a shift by the composition of their batches.
 //!
-//! Demand is what arrives, less what callers cancel ([`DemandEstimator`]). What
-//! is served says nothing: a fleet that lacks decode serves little decode, and
-//! a planner that goes by that would take even more of it away.
+//! The demand is measured by arrivals less cancellations ([`DemandEstimator`]), not by
+//! served tokens: a fleet that lacks decode capacity serves few output tokens, and a
+//! planner based on those would reduce its decode capacity further.
 
 pub mod baselines;
 mod capacity;
--- a/crates/core/src/roles/planner.rs
+++ b/crates/core/src/roles/planner.rs
@@ -1,4 +1,4 @@
-//! Which changes of role pay for themselves.
+//! Plans role changes whose gain exceeds their cost.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,27 +10,27 @@
 };
 
 const ROLES: [EngineRole; 3] = [EngineRole::Mixed, EngineRole::Prefill, EngineRole::Decode];
-/// Roles that engines are given. In a fleet of separate roles an engine that
-/// does both answers slowest of all, as its prompts interrupt its answers: which
-/// engines mix is for operators to set up.
-const NEW_ROLES: [EngineRole; 2] = [EngineRole::Prefill, EngineRole::Decode];
+/// Roles that the planner may assign. In a fleet with separate roles a mixed engine is the
+/// slowest, because prompts interrupt its output, so only operators configure mixed
+/// engines.
+const ASSIGNABLE_ROLES: [EngineRole; 2] = [EngineRole::Prefill, EngineRole::Decode];
 
-/// When a change of role is worth it.
+/// Settings that decide when a change of role is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RoleSettings {
-    /// For how long the demand is taken to stay as it is.
+    /// How long the demand is assumed to stay constant.
     pub horizon: TimeSpan,
-    /// How long an engine is away while it changes, draining included.
+    /// How long an engine is unavailable during a change, including the drain.
     pub change_time: TimeSpan,
-    /// How long an engine keeps a role at least.
+    /// Minimum time between two role changes of an engine.
     #[serde(rename = "rest")]
     pub min_role_time: TimeSpan,
-    /// The headroom to keep, as the share of the demand that can be served, in
-    /// thousandths: beyond it more capacity gains nothing.
+    /// The servable share of the demand to aim for, in thousandths, including headroom.
+    /// Capacity beyond it is not counted as a gain.
     #[serde(rename = "enough")]
     pub target_share: u64,
-    /// The least gain over the horizon, in thousandths of the demand.
+    /// Minimum gain over the horizon, in thousandths of the demand.
     #[serde(rename = "least_gain")]
     pub min_gain: u64,
 }
@@ -47,124 +47,124 @@
     }
 }
 
-/// An engine as the planner sees it.
+/// The state of an engine, as input to the planner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleEngine {
-    /// Which.
+    /// The endpoint id of the engine.
     pub endpoint: EndpointId,
-    /// Where.
+    /// The failure domain of the engine.
     pub failure_domain: FailureDomain,
-    /// What it does.
+    /// The current role, or the new one while it changes.
     pub role: EngineRole,
-    /// Whether it serves now; one that is changing, starting or leaving doesn't.
+    /// Whether it serves requests; an engine that is changing, starting or leaving
+    /// doesn't.
     pub serving: bool,
-    /// Whether a change of it is under way or ordered.
+    /// Whether a change of it is in progress or ordered.
     pub changing: bool,
     /// When its role was last changed.
     pub changed_at: Option<ClockTime>,
 }
 
-/// What the planner goes by, for the engines of one model.
+/// The input to the planner, for the engines of one model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleInputs {
     /// The engines.
     pub engines: Vec<RoleEngine>,
-    /// What is asked for now, over all entries.
+    /// The demand of the short window, summed over all entries.
     pub short: TokenDemand,
-    /// What has been asked for all along, over all entries.
+    /// The demand of the long window, summed over all entries.
     pub long: TokenDemand,
-    /// What one engine does.
+    /// The throughput of one engine.
     pub rates: EngineRates,
 }
 
-/// A change of an engine's role.
+/// A planned change of an engine's role.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannedRoleChange {
     /// The engine.
     pub endpoint: EndpointId,
-    /// Its role now.
+    /// The current role.
     pub from: EngineRole,
-    /// Its new role.
+    /// The new role.
     pub to: EngineRole,
-    /// Why, for the journal.
+    /// The reason, for the decision record.
     pub reason: String,
 }
 
-/// Plans changes of role.
+/// Plans role changes.
 #[derive(Clone, Copy, Debug)]
 pub struct RolePlanner {
     settings: RoleSettings,
 }
 
-/// A change of one engine from a role to another, and what it gains.
+/// The gain of changing one engine from a role to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct RoleGain {
     from: EngineRole,
     to: EngineRole,
-    /// In thousandths of the demand times milliseconds.
+    /// The gain over the horizon, in thousandths of the demand times milliseconds.
     gain: i64,
     share_before: u64,
     share_after: u64,
 }
 
 impl RolePlanner {
-    /// A planner with these settings.
+    /// Creates a planner with these settings.
     pub fn new(settings: RoleSettings) -> RolePlanner {
         RolePlanner { settings }
     }
 
-    /// The changes to order now: at most one in each failure domain, counting
-    /// those under way, and each only if it pays for itself after the ones
-    /// before it.
+    /// Returns the changes to order at `now`: at most one in each failure domain, counting
+    /// those in progress, and each only if it is a gain after the ones before it.
     pub fn plan(&self, now: ClockTime, inputs: &RoleInputs) -> Vec<PlannedRoleChange> {
         let mut counts = serving_counts(&inputs.engines);
-        let mut busy: Vec<&FailureDomain> = Vec::new();
+        let mut busy_domains: Vec<&FailureDomain> = Vec::new();
         for engine in inputs.engines.iter().filter(|engine| engine.changing) {
-            busy.push(&engine.failure_domain);
-            // It will serve again in its new role, which `role` already names.
+            busy_domains.push(&engine.failure_domain);
+            // The engine will serve again in its new role, which `role` already holds.
             if !engine.serving {
                 *counts.of(engine.role) += 1;
             }
         }
         let mut planned = Vec::new();
         loop {
-            let free: Vec<&RoleEngine> = inputs
+            let candidates: Vec<&RoleEngine> = inputs
                 .engines
                 .iter()
                 .filter(|engine| {
-                    self.may_change(now, engine) && !busy.contains(&&engine.failure_domain)
+                    self.may_change(now, engine) && !busy_domains.contains(&&engine.failure_domain)
                 })
                 .collect();
-            let Some((engine, best)) = self.best(&free, counts, inputs) else {
+            let Some((engine, best)) = self.best_change(&candidates, counts, inputs) else {
                 return planned;
             };
-            busy.push(&engine.failure_domain);
+            busy_domains.push(&engine.failure_domain);
             counts = counts.without(best.from).with(best.to);
             planned.push(self.planned(engine, best));
         }
     }
 
     fn may_change(&self, now: ClockTime, engine: &RoleEngine) -> bool {
-        let rested = |at| now.since(at) >= self.settings.min_role_time;
-        engine.serving && !engine.changing && engine.changed_at.is_none_or(rested)
+        let min_time_passed = |at| now.since(at) >= self.settings.min_role_time;
+        engine.serving && !engine.changing && engine.changed_at.is_none_or(min_time_passed)
     }
 
-    fn best<'a>(
+    fn best_change<'a>(
         &self,
-        free: &[&'a RoleEngine],
+        candidates: &[&'a RoleEngine],
         counts: RoleCounts,
         inputs: &RoleInputs,
     ) -> Option<(&'a RoleEngine, RoleGain)> {
         let mut best: Option<(&RoleEngine, RoleGain)> = None;
         for from in ROLES {
-            let Some(engine) = free.iter().find(|engine| engine.role == from) else {
+            let Some(engine) = candidates.iter().find(|engine| engine.role == from) else {
                 continue;
             };
-            for to in NEW_ROLES.into_iter().filter(|to| *to != from) {
+            for to in ASSIGNABLE_ROLES.into_iter().filter(|to| *to != from) {
                 let Some(gain) = self.gain(from, to, counts, inputs) else {
                     continue;
                 };
-                if best.is_none_or(|(_, known)| gain.gain > known.gain) {
+                if best.is_none_or(|(_, current)| gain.gain > current.gain) {
                     best = Some((engine, gain));
                 }
             }
@@ -172,9 +172,9 @@
         best
     }
 
-    /// What a change gains by the short and the long window, whichever is less;
-    /// none if that is too little. A burst shows in the short window only, and
-    /// the end of a shift in the long one only.
+    /// The gain of a change by the short or the long window, whichever is less; `None` if
+    /// it is below the minimum. A burst raises the demand of the short window only, and
+    /// demand that has ended remains in the long window only.
     fn gain(
         &self,
         from: EngineRole,
@@ -184,9 +184,9 @@
     ) -> Option<RoleGain> {
         let settings = &self.settings;
         let after = counts.without(from).with(to);
-        // Without prefill or without decode a prompt can't get through at all.
-        let whole = after.mixed > 0 || (after.prefill > 0 && after.decode > 0);
-        if !whole {
+        // Without prefill or without decode no request can complete.
+        let covers_both_stages = after.mixed > 0 || (after.prefill > 0 && after.decode > 0);
+        if !covers_both_stages {
             return None;
         }
         let gain_by = |demand: TokenDemand| {
@@ -194,27 +194,27 @@
                 |counts| servable_share(counts, demand, inputs.rates).min(settings.target_share);
             let (before, during) = (share(counts), share(counts.without(from)));
             let after = share(after);
-            let rest = settings
+            let time_after = settings
                 .horizon
                 .saturating_sub(settings.change_time)
                 .as_millis();
-            let won = (after as i64 - before as i64) * rest as i64;
+            let gained = (after as i64 - before as i64) * time_after as i64;
             let lost = (before as i64 - during as i64) * settings.change_time.as_millis() as i64;
             RoleGain {
                 from,
                 to,
-                gain: won - lost,
+                gain: gained - lost,
                 share_before: before,
                 share_after: after,
             }
         };
         let (short, long) = (gain_by(inputs.short), gain_by(inputs.long));
-        let least = match short.gain <= long.gain {
+        let smaller = match short.gain <= long.gain {
             true => short,
             false => long,
         };
-        let needed = (settings.min_gain * settings.horizon.as_millis()) as i64;
-        (least.gain >= needed).then_some(least)
+        let required = (settings.min_gain * settings.horizon.as_millis()) as i64;
+        (smaller.gain >= required).then_some(smaller)
     }
 
     fn planned(&self, engine: &RoleEngine, gain: RoleGain) -> PlannedRoleChange {
@@ -224,7 +224,7 @@
             from: gain.from,
             to: gain.to,
             reason: format!(
-                "{} to {}: serves {}% of the demand in place of {}%, worth {} after {} away over {}",
+                "{} to {}: {}% of the demand can be served instead of {}%, a net gain of {} after a change of {} over {}",
                 gain.from,
                 gain.to,
                 percent(gain.share_after),
@@ -240,7 +240,7 @@
     }
 }
 
-/// How many engines serve in each role.
+/// The number of serving engines in each role.
 pub(super) fn serving_counts(engines: &[RoleEngine]) -> RoleCounts {
     let mut counts = RoleCounts::default();
     for engine in engines.iter().filter(|engine| engine.serving) {
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The size of the fleet, and what its cheaper part may carry.
+//! The size of the fleet and its share of preemptible endpoints.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
     clock::ClockTime,
     fleet::{
         EndpointStage, FleetEndpoint, FleetInputs, FleetPlanner, FleetSettings, PlannedChange,
-        ServiceNeed, WorkDemand, carries, cheapest_size, survives_reclaim,
+        ServiceNeed, WorkDemand, cheapest_size, has_capacity, survives_reclaim,
     },
     ids::{EndpointId, FailureDomain, ServiceName},
     records::CapacityKind,
@@ -57,8 +57,8 @@
     }
 }
 
-/// Lets the planner order until it orders nothing; every start succeeds.
-fn settle(planner: &FleetPlanner, now: ClockTime, inputs: &mut FleetInputs) {
+/// Applies plans until the planner orders no more changes; every start succeeds.
+fn apply_plans(planner: &FleetPlanner, now: ClockTime, inputs: &mut FleetInputs) {
     for _ in 0..200 {
         let changes = planner.plan(now, inputs);
         if changes.is_empty() {
@@ -68,7 +68,7 @@
             apply(inputs, change);
         }
     }
-    panic!("the plan never settles");
+    panic!("the planner still orders changes after 200 rounds");
 }
 
 fn apply(inputs: &mut FleetInputs, change: PlannedChange) {
@@ -93,11 +93,11 @@
     inputs.endpoints.iter().filter(of_kind).count()
 }
 
-/// The platform takes back all preemptible endpoints of a failure domain within
-/// seconds. If too much ran there, callers everywhere wait until new endpoints
-/// have fetched their weights.
+/// The platform reclaims all preemptible endpoints of a failure domain within seconds. If
+/// too much work ran there, callers of all failure domains wait until new endpoints have
+/// fetched their weights.
 #[test]
-fn what_is_left_after_a_reclaim_carries_what_cannot_wait() {
+fn the_endpoints_left_after_a_reclaim_have_capacity_for_work_that_cannot_wait() {
     let settings = FleetSettings::default();
     let mut random = ChaCha8Rng::seed_from_u64(11);
     for _ in 0..300 {
@@ -108,7 +108,7 @@
         );
         let domains = random.random_range(1..=4);
         let size = cheapest_size(demand, 3, domains, &settings);
-        assert!(carries(size, demand, &settings), "{demand:?} {size}");
+        assert!(has_capacity(size, demand, &settings), "{demand:?} {size}");
         assert!(
             survives_reclaim(size, demand, domains, &settings),
             "{demand:?} {size}"
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn work_that_runs_once_is_counted_on_reserved_endpoints() {
+fn work_that_may_run_only_once_is_assigned_to_reserved_endpoints() {
     let settings = FleetSettings::default();
     let size = cheapest_size(demand(7_000, 0, 0), 3, 3, &settings);
     assert_eq!((size.reserved.count(), size.preemptible.count()), (10, 0));
@@ -129,13 +129,13 @@
 }
 
 #[test]
-fn endpoints_are_spread_and_started_as_the_weight_store_allows() {
+fn endpoints_are_spread_evenly_and_starts_are_limited() {
     let planner = FleetPlanner::new(FleetSettings::default());
     let need = demand(1_000, 4_000, 2_000);
     let mut inputs = inputs(need, need);
     let first = planner.plan(at(0), &inputs);
     assert_eq!(first.len(), 3, "{first:?}");
-    settle(&planner, at(0), &mut inputs);
+    apply_plans(&planner, at(0), &mut inputs);
     for capacity in [CapacityKind::Reserved, CapacityKind::Preemptible] {
         let counts: Vec<usize> = DOMAINS
             .iter()
@@ -146,13 +146,16 @@
                 inputs.endpoints.iter().filter(here).count()
             })
             .collect();
-        let (most, least) = (counts.iter().max(), counts.iter().min());
-        assert!(most <= least.map(|least| least + 1).as_ref(), "{counts:?}");
+        let (largest, smallest) = (counts.iter().max(), counts.iter().min());
+        assert!(
+            largest <= smallest.map(|smallest| smallest + 1).as_ref(),
+            "{counts:?}"
+        );
     }
 }
 
 #[test]
-fn nothing_more_is_started_while_the_weight_store_is_busy() {
+fn no_endpoint_is_started_while_the_maximum_number_is_starting() {
     let planner = FleetPlanner::new(FleetSettings::default());
     let need = demand(0, 6_000, 0);
     let mut inputs = inputs(need, need);
@@ -164,14 +167,14 @@
     assert!(planner.plan(at(0), &inputs).is_empty());
 }
 
-/// Demand falls for some minutes and returns. A fleet that shrinks at once is
-/// too small when it does, and the first callers pay for the start-up time.
+/// Demand falls for some minutes and then rises again. A fleet that shrank at once would
+/// be too small then, and callers would have to wait for endpoints to start.
 #[test]
 fn a_lull_stops_nothing_and_a_lasting_fall_stops_one_at_a_time() {
     let planner = FleetPlanner::new(FleetSettings::default());
     let (high, low) = (demand(500, 6_000, 2_000), demand(500, 2_000, 500));
     let mut inputs = inputs(high, high);
-    settle(&planner, at(0), &mut inputs);
+    apply_plans(&planner, at(0), &mut inputs);
     let before = inputs.endpoints.len();
     inputs.needs[0].now = low;
     assert!(planner.plan(at(1_000), &inputs).is_empty());
@@ -181,25 +184,25 @@
         matches!(stops.as_slice(), [PlannedChange::Stop { .. }]),
         "{stops:?}"
     );
-    settle(&planner, at(1_000), &mut inputs);
+    apply_plans(&planner, at(1_000), &mut inputs);
     assert!(inputs.endpoints.len() < before);
     assert!(planner.plan(at(100), &inputs).is_empty());
 }
 
-/// The cheaper kind is not to be had in any failure domain. Waiting for it would
-/// leave callers without endpoints for as long as that lasts.
+/// Preemptible endpoints are unavailable in all failure domains. Waiting for them would
+/// leave callers without endpoints during that time.
 #[test]
-fn reserved_endpoints_take_over_while_the_cheaper_kind_is_unavailable() {
+fn reserved_endpoints_replace_unavailable_preemptible_ones() {
     let planner = FleetPlanner::new(FleetSettings::default());
     let need = demand(500, 3_000, 4_000);
     let mut inputs = inputs(need, need);
     for name in DOMAINS {
         inputs.preemptible_lost.insert(domain(name), at(100));
     }
-    settle(&planner, at(101), &mut inputs);
+    apply_plans(&planner, at(101), &mut inputs);
     assert_eq!(count(&inputs, CapacityKind::Preemptible), 0);
     let reserved = count(&inputs, CapacityKind::Reserved);
-    settle(&planner, at(1_000), &mut inputs);
+    apply_plans(&planner, at(1_000), &mut inputs);
     assert!(count(&inputs, CapacityKind::Preemptible) > 0);
     assert!(count(&inputs, CapacityKind::Reserved) < reserved);
 }
--- a/crates/core/tests/roles.rs
+++ b/crates/core/tests/roles.rs
@@ -1,4 +1,4 @@
-//! When an engine's role changes, and when it stays.
+//! When the planner changes the role of an engine, and when it does not.
 
 use bluebell_core::{
     clock::ClockTime,
@@ -53,8 +53,8 @@
     RolePlanner::new(RoleSettings::default())
 }
 
-/// Prompts have become long and answers short; decode engines idle while prompts
-/// queue. Callers wait for their first token although half the fleet is free.
+/// Prompts have become long and answers short: decode engines are idle while prompts
+/// queue, so callers wait for their first token although half of the fleet is free.
 #[test]
 fn a_lasting_shift_changes_roles_one_in_each_failure_domain() {
     let shifted = demand(56_000, 3_000);
@@ -71,8 +71,8 @@
     assert_eq!(domains.len(), planned.len());
 }
 
-/// A burst of long prompts lasts a few seconds. An engine that changes for it is
-/// away for longer than the burst, and is in the wrong role afterwards.
+/// A burst of long prompts lasts for a few seconds. An engine that changes its role for
+/// it would be unavailable for longer than the burst, and have the wrong role afterwards.
 #[test]
 fn a_burst_changes_nothing() {
     let planned = planner().plan(
@@ -83,14 +83,14 @@
 }
 
 #[test]
-fn a_fleet_that_serves_all_changes_nothing() {
+fn a_fleet_that_serves_the_whole_demand_changes_nothing() {
     let light = demand(8_000, 4_000);
     let planned = planner().plan(at(100), &inputs(engines(4, 8), light, light));
     assert!(planned.is_empty(), "{planned:?}");
 }
 
 #[test]
-fn a_failure_domain_with_a_change_under_way_waits() {
+fn a_failure_domain_with_a_change_in_progress_gets_no_other_change() {
     let shifted = demand(56_000, 3_000);
     let mut changing = engines(4, 8);
     for engine in &mut changing[9..12] {
@@ -102,30 +102,30 @@
 }
 
 #[test]
-fn an_engine_that_has_just_changed_rests() {
+fn an_engine_keeps_its_role_for_the_minimum_time() {
     let shifted = demand(56_000, 3_000);
-    let mut rested = engines(4, 8);
-    for engine in &mut rested {
+    let mut changed = engines(4, 8);
+    for engine in &mut changed {
         engine.changed_at = Some(at(90));
     }
-    let planned = planner().plan(at(100), &inputs(rested, shifted, shifted));
+    let planned = planner().plan(at(100), &inputs(changed, shifted, shifted));
     assert!(planned.is_empty(), "{planned:?}");
 }
 
-/// Most callers leave after a few words. If what they asked for counted as
-/// demand, the fleet would hold engines ready to decode what nobody reads.
+/// Most callers cancel after a few words. If the maximum output counted as demand, the
+/// fleet would reserve engines to decode output that is not read.
 #[test]
-fn cancels_are_taken_off_the_demand() {
+fn cancelled_requests_are_subtracted_from_the_demand() {
     let pool = RoutePool::Model(ModelName::new("chat").expect("valid"));
     let mut estimator = DemandEstimator::new();
-    let (prompt, most) = (TokenCount::new(500), TokenCount::new(400));
+    let (prompt, max_output) = (TokenCount::new(500), TokenCount::new(400));
     for second in 0..600 {
         for _ in 0..10 {
-            estimator.note_arrival(at(second), &pool, prompt, TokenCount::ZERO, most);
-            estimator.note_end(&pool, most, TokenCount::new(40));
+            estimator.note_arrival(at(second), &pool, prompt, TokenCount::ZERO, max_output);
+            estimator.note_end(&pool, max_output, TokenCount::new(40));
         }
-        estimator.note_arrival(at(second), &pool, prompt, TokenCount::ZERO, most);
-        estimator.note_queued_cancel(at(second), &pool, prompt, most);
+        estimator.note_arrival(at(second), &pool, prompt, TokenCount::ZERO, max_output);
+        estimator.note_queued_cancel(at(second), &pool, prompt, max_output);
     }
     let estimate = estimator.demands(at(599)).remove(0).long;
     assert!(
@@ -138,15 +138,15 @@
     );
 }
 
-/// Decode engines are lost, and little is decoded. Going by what is served, the
-/// demand for decode would seem to have gone.
+/// Decode engines are lost, so few tokens are decoded. Measured by served tokens, the
+/// demand for decode would appear to have ended.
 #[test]
 fn demand_that_is_not_served_still_counts() {
     let pool = RoutePool::Model(ModelName::new("chat").expect("valid"));
     let mut estimator = DemandEstimator::new();
     for second in 0..60 {
-        let (prompt, most) = (TokenCount::new(500), TokenCount::new(400));
-        estimator.note_arrival(at(second), &pool, prompt, TokenCount::ZERO, most);
+        let (prompt, max_output) = (TokenCount::new(500), TokenCount::new(400));
+        estimator.note_arrival(at(second), &pool, prompt, TokenCount::ZERO, max_output);
     }
     let estimate = estimator.demands(at(59)).remove(0).short;
     assert!(estimate.decode.count() >= 190, "{estimate:?}");
