--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,8 +1,8 @@
-//! The system's own clock type, in milliseconds.
+//! Time types in milliseconds, and the source of the current time.
 //!
-//! Slices are handed a [`ClockTime`] with every message and never read a clock
-//! themselves. Times of two processes are never compared; only spans measured
-//! on one clock are.
+//! The modules of this crate get a [`ClockTime`] with every call and never read a clock
+//! themselves. Times of different processes are never compared, only time spans that were
+//! measured on one clock.
 
 use std::{
     fmt,
@@ -14,7 +14,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time on one process's clock, in milliseconds.
+/// A point in time on the clock of one process, in milliseconds.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -22,12 +22,12 @@
 pub struct ClockTime(u64);
 
 impl ClockTime {
-    /// The time `millis` milliseconds after the clock's origin.
+    /// Creates the time `millis` milliseconds after the origin of the clock.
     pub const fn from_millis(millis: u64) -> ClockTime {
         ClockTime(millis)
     }
 
-    /// Milliseconds since the clock's origin.
+    /// Milliseconds since the origin of the clock.
     pub const fn as_millis(self) -> u64 {
         self.0
     }
@@ -68,15 +68,15 @@
 pub struct TimeSpan(u64);
 
 impl TimeSpan {
-    /// No time at all.
+    /// The empty time span.
     pub const ZERO: TimeSpan = TimeSpan(0);
 
-    /// A span of `millis` milliseconds.
+    /// Creates a span of `millis` milliseconds.
     pub const fn from_millis(millis: u64) -> TimeSpan {
         TimeSpan(millis)
     }
 
-    /// A span of `secs` seconds.
+    /// Creates a span of `secs` seconds.
     pub const fn from_secs(secs: u64) -> TimeSpan {
         TimeSpan(secs * 1_000)
     }
@@ -86,22 +86,22 @@
         self.0
     }
 
-    /// The span in seconds, rounded up, as `Retry-After` wants it.
+    /// The span in seconds, rounded up, for the `Retry-After` header.
     pub const fn as_secs_ceil(self) -> u64 {
         self.0.div_ceil(1_000)
     }
 
-    /// The span multiplied by `factor`.
+    /// The span multiplied by `factor`, saturating at the maximum.
     pub const fn times(self, factor: u64) -> TimeSpan {
         TimeSpan(self.0.saturating_mul(factor))
     }
 
-    /// This span less `other`, or zero.
+    /// This span minus `other`, or zero if `other` is longer.
     pub const fn saturating_sub(self, other: TimeSpan) -> TimeSpan {
         TimeSpan(self.0.saturating_sub(other.0))
     }
 
-    /// The span as the standard library's type, for timers.
+    /// The span as a standard library duration, for timers.
     pub const fn as_duration(self) -> std::time::Duration {
         std::time::Duration::from_millis(self.0)
     }
@@ -127,7 +127,7 @@
     }
 }
 
-/// A text that is no [`TimeSpan`].
+/// The error for a text that is not a valid [`TimeSpan`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{text}` is not a length of time: expected a number with `ms`, `s`, `m` or `h`")]
 pub struct ParseSpanError {
@@ -141,8 +141,8 @@
         let error = || ParseSpanError {
             text: text.to_string(),
         };
-        let digits = text.find(|c: char| !c.is_ascii_digit()).ok_or_else(error)?;
-        let (number, unit) = text.split_at(digits);
+        let unit_start = text.find(|c: char| !c.is_ascii_digit()).ok_or_else(error)?;
+        let (number, unit) = text.split_at(unit_start);
         let number: u64 = number.parse().map_err(|_| error())?;
         let factor = match unit {
             "ms" => 1,
@@ -169,15 +169,15 @@
     }
 }
 
-/// Where a daemon gets the time from: the machine's clock, or a test's closure.
+/// The source of the current time: the clock of the machine, or a closure in tests.
 #[derive(Clone)]
 pub struct ClockSource {
     read: Arc<dyn Fn() -> ClockTime + Send + Sync>,
 }
 
 impl ClockSource {
-    /// A monotonic clock that starts near the wall clock's time, so that times
-    /// in logs can be read by people while steps of the wall clock do no harm.
+    /// Creates a monotonic clock that starts at the current wall clock time, so that times
+    /// in logs are readable while steps of the wall clock have no effect.
     pub fn new() -> ClockSource {
         let wall = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -187,7 +187,7 @@
         ClockSource::with_read(move || ClockTime(origin + start.elapsed().as_millis() as u64))
     }
 
-    /// A clock that answers what `read` returns.
+    /// Creates a clock that returns the result of `read`.
     pub fn with_read<Read>(read: Read) -> ClockSource
     where
         Read: Fn() -> ClockTime + Send + Sync + 'static,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> ClockTime {
         (self.read)()
     }
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,7 +1,7 @@
-//! What operators publish: services, organisations, caller keys and rules.
+//! Configuration that operators publish: services, organisations, caller keys and rules.
 //!
-//! A [`UnitName`] names one unit of configuration; a [`UnitBody`] is its
-//! content. Both travel in the log's publish records.
+//! A [`UnitName`] names one unit of configuration; a [`UnitBody`] is its content. Both are
+//! part of the publish records in the log.
 
 use std::{fmt, str::FromStr};
 
@@ -17,13 +17,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UnitKind {
-    /// A [`ServiceUnit`].
+    /// A service, see [`ServiceUnit`].
     Service,
-    /// An [`OrganisationUnit`].
+    /// An organisation, see [`OrganisationUnit`].
     Organisation,
-    /// A [`KeyUnit`].
+    /// A caller's key, see [`KeyUnit`].
     Key,
-    /// A [`RuleUnit`].
+    /// A rule on repeatable calls, see [`RuleUnit`].
     Rule,
 }
 
@@ -46,19 +46,19 @@
     name: String,
 }
 
-/// A text that is no [`UnitName`].
+/// The error for a text that is not a valid [`UnitName`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseUnitError {
-    /// The part before the slash names no kind.
+    /// There is no slash, or the part before it is not a kind of unit.
     #[error("`{0}` is not a unit: expected `service/…`, `organisation/…`, `key/…` or `rule/…`")]
     Kind(String),
-    /// The part after the slash is no identifier.
+    /// The part after the slash is not a valid identifier.
     #[error(transparent)]
     Name(#[from] ParseIdError),
 }
 
 impl UnitName {
-    /// The unit of this kind and name.
+    /// Creates the name of a unit; fails if `name` is not a valid identifier.
     pub fn new(kind: UnitKind, name: &str) -> Result<UnitName, ParseUnitError> {
         let name = ServiceName::new(name)?;
         Ok(UnitName {
@@ -67,7 +67,8 @@
         })
     }
 
-    /// What sorts before all units of this kind and after those of the kinds before.
+    /// The lower bound of all units of `kind` in sort order, for range queries. It is not
+    /// itself a valid unit name.
     pub fn first_of(kind: UnitKind) -> UnitName {
         UnitName {
             kind,
@@ -75,12 +76,12 @@
         }
     }
 
-    /// The unit's kind.
+    /// The kind of the unit.
     pub fn kind(&self) -> UnitKind {
         self.kind
     }
 
-    /// The unit's name within its kind.
+    /// The name of the unit within its kind.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -129,16 +130,16 @@
 pub enum UnitBody {
     /// A service that callers name.
     Service(ServiceUnit),
-    /// A customer.
+    /// A customer organisation.
     Organisation(OrganisationUnit),
     /// A caller's key.
     Key(KeyUnit),
-    /// Which calls of a plain service may be repeated.
+    /// A rule that states which calls of a plain service may be repeated.
     Rule(RuleUnit),
 }
 
 impl UnitBody {
-    /// The kind of unit that this is the content of.
+    /// The kind of unit that this content belongs to.
     pub fn kind(&self) -> UnitKind {
         match self {
             UnitBody::Service(_) => UnitKind::Service,
@@ -149,13 +150,13 @@
     }
 }
 
-/// Whether a person waits for the answer.
+/// The priority of a request: whether a person waits for the answer.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum WorkPriority {
-    /// A person stands at the screen.
+    /// A person waits for the answer.
     #[default]
     Interactive,
     /// The answer can wait.
@@ -171,7 +172,7 @@
     }
 }
 
-/// What stands behind a service.
+/// The kind of endpoints that serve a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case", deny_unknown_fields)]
 pub enum ServiceTarget {
@@ -179,28 +180,28 @@
     Model {
         /// The model.
         model: ModelName,
-        /// The most output tokens of one answer.
+        /// Maximum number of output tokens of one answer.
         max_tokens: TokenCount,
     },
-    /// Replicas of a plain service.
+    /// Replicas of a plain service, which is not served by engines.
     Plain {},
 }
 
-/// A service and what its answers must keep to.
+/// A service and the limits for its answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceUnit {
-    /// What stands behind the service.
+    /// The kind of endpoints that serve the service.
     pub target: ServiceTarget,
-    /// The priority of requests that name none.
+    /// The priority of requests that specify none.
     #[serde(default)]
     pub priority: WorkPriority,
-    /// How long a caller waits for the first token or for the whole answer of a
-    /// plain service, where the request names no deadline.
+    /// The time limit for the first token, or for the complete answer of a plain service,
+    /// if the request specifies no deadline.
     pub deadline: TimeSpan,
-    /// The longest silence between tokens before the endpoint is probed.
+    /// Maximum time without a token before the endpoint is probed.
     pub progress_limit: TimeSpan,
-    /// Whether the service may run on capacity that can be reclaimed.
+    /// Whether the service may run on preemptible capacity.
     #[serde(default)]
     pub preemptible: bool,
 }
@@ -209,36 +210,37 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationUnit {
-    /// The organisation's share against the others'.
+    /// The share of the organisation relative to the others.
     pub weight: ShareWeight,
-    /// The services that its keys may name; empty means all.
+    /// The services that its keys may use; empty means all.
     #[serde(default)]
     pub services: Vec<ServiceName>,
-    /// The most requests it may have in progress at one entry.
+    /// Maximum number of its requests in progress at one entry.
     pub max_in_flight: u32,
 }
 
-/// A caller's key, as its digest, and whose requests it admits.
+/// The digest of a caller's key, and the organisation that the key belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyUnit {
-    /// The organisation that requests with this key run for.
+    /// The organisation on whose behalf requests with this key run.
     pub organisation: OrganisationId,
     /// The digest of the key.
     pub digest: KeyDigest,
 }
 
-/// Which calls of a plain service may be repeated.
+/// A rule that states which calls of a plain service may be repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RuleUnit {
-    /// The service that the rule speaks of.
+    /// The service that the rule applies to.
     pub service: ServiceName,
-    /// The HTTP method; none means every method.
+    /// The HTTP method; `None` means every method.
     #[serde(default)]
     pub method: Option<String>,
-    /// What a call's path below the service starts with. The longest match decides.
+    /// The prefix of the path below the service. The rule with the longest matching prefix
+    /// applies.
     pub path_prefix: String,
-    /// Whether a call may be sent again. Calls that no rule speaks of may not.
+    /// Whether a call may be sent again. Calls without a matching rule may not.
     pub repeatable: bool,
 }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,14 +1,14 @@
-//! Identifiers of the domain, one newtype each.
+//! Identifiers, with one newtype for each kind.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// The longest text accepted as an identifier, in bytes.
+/// Maximum length of an identifier, in bytes.
 pub const MAX_ID_BYTES: usize = 128;
 
-/// A text that is no identifier.
+/// The error for a text that is not a valid identifier.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "`{text}` is not a valid {kind}: expected 1 to {MAX_ID_BYTES} letters, digits, `-`, `_`, `.` or `:`"
@@ -35,7 +35,9 @@
         pub struct $name(String);
 
         impl $name {
-            /// Checks `text` and wraps it.
+            /// Creates an identifier from `text`; fails if it is empty, longer than
+            /// [`MAX_ID_BYTES`] or contains other characters than letters, digits, `-`, `_`,
+            /// `.` and `:`.
             pub fn new<Text>(text: Text) -> Result<$name, ParseIdError>
             where
                 Text: Into<String>,
@@ -82,13 +84,13 @@
 }
 
 text_id!(
-    /// One of our own processes.
+    /// An instance: one process of this system.
     InstanceId, "instance id");
 text_id!(
-    /// A failure domain: instances and endpoints that can be lost together.
+    /// A failure domain: a set of instances and endpoints that may fail together.
     FailureDomain, "failure domain");
 text_id!(
-    /// A region: failure domains with little latency between them.
+    /// A region: a set of failure domains with low latency between them.
     RegionId, "region");
 text_id!(
     /// A back end that requests are routed to: an engine or a plain service replica.
@@ -97,7 +99,7 @@
     /// A customer whose work is admitted, metered and billed together.
     OrganisationId, "organisation id");
 text_id!(
-    /// A service that callers name: a model service or a plain service.
+    /// A service that callers request: a model service or a plain service.
     ServiceName, "service name");
 text_id!(
     /// A model that engines load.
@@ -106,16 +108,18 @@
     /// One request of one caller.
     RequestId, "request id");
 text_id!(
-    /// One order to an engine or to the platform; repeats carry the same id.
+    /// One order to an engine or to the platform; repeats have the same id.
     OrderId, "order id");
 text_id!(
-    /// Who appended a record: an instance's incarnation or an operator's command.
+    /// The writer of a log record: one incarnation of an instance, or one command of an
+    /// operator.
     WriterId, "writer id");
 text_id!(
-    /// What a caller sends to mark repeats of one action.
+    /// The idempotency key by which a caller identifies repeats of one action.
     IdempotencyKey, "idempotency key");
 
-/// A record's place in the platform's log; also a version and a fencing number.
+/// The offset of a record in the platform's log; also used as configuration version and as
+/// fencing number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -123,15 +127,15 @@
 pub struct LogOffset(u64);
 
 impl LogOffset {
-    /// The log's first offset.
+    /// The first offset of the log.
     pub const START: LogOffset = LogOffset(0);
 
-    /// The offset with this number.
+    /// Creates the offset with this number.
     pub const fn new(number: u64) -> LogOffset {
         LogOffset(number)
     }
 
-    /// The offset's number.
+    /// The number of the offset.
     pub const fn number(self) -> u64 {
         self.0
     }
@@ -156,28 +160,29 @@
     }
 }
 
-/// The SHA-256 of a caller's key, the only form of it that is kept or passed on.
+/// The SHA-256 digest of a caller's key, the only form in which the key is stored or sent
+/// to other processes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct KeyDigest(String);
 
-/// A text that is no [`KeyDigest`].
+/// The error for a text that is not a valid [`KeyDigest`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a key digest is 64 hexadecimal digits in lower case")]
 pub struct ParseDigestError;
 
 impl KeyDigest {
-    /// The digest of a caller's key.
+    /// Computes the digest of a caller's key.
     pub fn with_key(key: &str) -> KeyDigest {
         KeyDigest(hex(&Sha256::digest(key.as_bytes())))
     }
 
-    /// The first digits, enough for operators to tell keys apart.
+    /// The first 12 digits, which are enough for operators to distinguish keys.
     pub fn short(&self) -> &str {
         &self.0[..12]
     }
 
-    /// The whole digest as text.
+    /// The complete digest as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -219,14 +224,14 @@
     }
 }
 
-/// A digest of a request's organisation and content, which tells repeats apart
-/// from bystanders after a crash.
+/// A digest of a request's organisation and content. After the crash of an endpoint it
+/// distinguishes repeats of the same request from other requests that were running.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestFingerprint(String);
 
 impl RequestFingerprint {
-    /// The fingerprint of `content` sent by `organisation`.
+    /// Computes the fingerprint of `content` sent by `organisation`.
     pub fn with_content(organisation: &OrganisationId, content: &[u8]) -> RequestFingerprint {
         let mut digest = Sha256::new();
         digest.update(organisation.as_str().as_bytes());
--- a/crates/core/src/keys/mod.rs
+++ b/crates/core/src/keys/mod.rs
@@ -1,7 +1,7 @@
-//! Which organisation a caller's key admits.
+//! Withdrawn caller keys.
 //!
-//! Keys are kept as digests only. A withdrawal is monotone: once a process has
-//! learnt of it, by log or by a peer, the key stays dead whatever it reads later.
+//! Keys are kept as digests only. A withdrawal is final: once a process has received it,
+//! from the log or from a peer, the key stays invalid regardless of later records.
 
 use std::collections::BTreeSet;
 
@@ -10,35 +10,35 @@
     records::{CheckpointItem, WithdrawRecord},
 };
 
-/// The keys that were withdrawn. Which keys were granted is a matter of the
-/// configuration, which keeps an index of them.
+/// The withdrawn keys. Granted keys are part of the configuration, which has an index of
+/// them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct KeyState {
     withdrawn: BTreeSet<KeyDigest>,
 }
 
 impl KeyState {
-    /// No key at all.
+    /// Creates a state without withdrawn keys.
     pub fn new() -> KeyState {
         KeyState::default()
     }
 
-    /// Takes a withdrawal; answers whether it is news.
+    /// Records a withdrawal. Returns whether the key was not withdrawn before.
     pub fn withdraw(&mut self, record: &WithdrawRecord) -> bool {
         self.withdrawn.insert(record.digest.clone())
     }
 
-    /// Keeps withdrawn what was withdrawn in `former`.
+    /// Adds all keys that were withdrawn in `former`.
     pub fn keep_withdrawn(&mut self, former: &KeyState) {
         self.withdrawn.extend(former.withdrawn.iter().cloned());
     }
 
-    /// Whether the key was withdrawn.
+    /// Whether the key has been withdrawn.
     pub fn is_withdrawn(&self, digest: &KeyDigest) -> bool {
         self.withdrawn.contains(digest)
     }
 
-    /// The withdrawn keys as checkpoint items; granted ones are units of the
+    /// Returns the withdrawn keys as checkpoint items. Granted keys are units of the
     /// configuration.
     pub fn checkpoint(&self) -> Vec<CheckpointItem> {
         let item = |digest: &KeyDigest| CheckpointItem::Withdrawn {
@@ -47,7 +47,7 @@
         self.withdrawn.iter().map(item).collect()
     }
 
-    /// Takes over a checkpoint item, if it is about a withdrawal.
+    /// Restores a withdrawn key from a checkpoint item; ignores items of other kinds.
     pub fn restore(&mut self, item: &CheckpointItem) {
         if let CheckpointItem::Withdrawn { digest } = item {
             self.withdrawn.insert(digest.clone());
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,15 +1,15 @@
-//! The decisions of bluebellhollow, as a pure library.
+//! The decision logic of bluebellhollow, as a deterministic library without I/O.
 //!
-//! Every duty of the system is a vertical slice: a module with its state, its
-//! messages and (under `tests/`) its tests. A slice is a plain struct that is
-//! told the time and what happened, and answers with what to do. It opens no
-//! socket, reads no clock, draws no ambient randomness and iterates no hash
-//! map, so any failure can be played to it as a list of messages and replays
-//! to the same answer. The daemons only move bytes between slices and sockets.
+//! Each responsibility of the system is one module with its state and messages, and with
+//! its tests under `tests/`. The state is a plain struct whose methods take the current
+//! time and an event, and return the action to take. It opens no socket, reads no clock,
+//! uses no ambient randomness and iterates over no hash map, so a failure can be
+//! reproduced from a list of messages, with the same result on every run. The daemons
+//! only transfer data between these modules and sockets.
 //!
-//! Whatever processes must agree on is decided by the *reader's rule*: the
-//! platform's log orders all records, every process folds the same prefix
-//! through [`view::FleetView`], and the first valid record wins.
+//! Processes agree by applying the same log: the platform's log orders all records, every
+//! process applies them in that order through [`view::FleetView`], and the first valid
+//! record takes effect.
 
 pub mod admission;
 pub mod attempts;
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and counts of the domain, one newtype each.
+//! Sizes, rates and counts, with one newtype for each unit.
 
 use std::{fmt, ops::Add, str::FromStr};
 
@@ -14,20 +14,20 @@
         pub struct $name(u64);
 
         impl $name {
-            /// None at all.
+            /// The value 0.
             pub const ZERO: $name = $name(0);
 
-            /// This many.
+            /// Creates a value of `count` units.
             pub const fn new(count: u64) -> $name {
                 $name(count)
             }
 
-            /// How many.
+            /// The number of units.
             pub const fn count(self) -> u64 {
                 self.0
             }
 
-            /// This less `other`, or zero.
+            /// This value minus `other`, or zero if `other` is greater.
             pub const fn saturating_sub(self, other: $name) -> $name {
                 $name(self.0.saturating_sub(other.0))
             }
@@ -64,17 +64,17 @@
     /// A number of bytes.
     ByteSize, "B");
 number_unit!(
-    /// Work in milliseconds of one engine's time.
+    /// Work, in milliseconds of the time of one engine.
     WorkCost, "ms-engine");
 number_unit!(
     /// A number of endpoints.
     EndpointCount, "");
 number_unit!(
-    /// Tokens in a second.
+    /// Tokens per second.
     TokenRate, "tok/s");
 number_unit!(
-    /// Requests in a second.
+    /// Requests per second.
     RequestRate, "req/s");
 number_unit!(
-    /// An organisation's share of the fleet against the others'.
+    /// The share of the fleet of an organisation, relative to the others.
     ShareWeight, "");
