--- a/crates/entry/tests/answers.rs
+++ b/crates/entry/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Whole answers, cancels, stopping, and keys that are withdrawn meanwhile.
+//! Complete answers, cancellation, shutdown, and keys withdrawn during an answer.
 
 mod support;
 
@@ -20,7 +20,7 @@
 use serde_json::Value;
 use support::{
     TestBed,
-    endpoint::{FakeEndpoint, OK_HEAD, SeenRequest, Step, end, token, whole_answer},
+    endpoint::{FakeEndpoint, OK_HEAD, ReceivedRequest, Step, complete_answer, end, token},
     eventually, listing,
 };
 
@@ -38,16 +38,19 @@
     bed
 }
 
-/// An engine that does something else on its first request than on later ones.
+/// Starts an engine that runs the steps of `first` for its first request and answers
+/// later ones completely.
 async fn engine_with_first<First>(first: First) -> FakeEndpoint
 where
-    First: Fn(&SeenRequest) -> Vec<Step> + Send + Sync + 'static,
+    First: Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
 {
     let requests = Arc::new(AtomicU64::new(0));
-    FakeEndpoint::start(move |seen| match requests.fetch_add(1, Ordering::SeqCst) {
-        0 => first(seen),
-        _ => whole_answer(&seen.generate(), 4),
-    })
+    FakeEndpoint::start(
+        move |received| match requests.fetch_add(1, Ordering::SeqCst) {
+            0 => first(received),
+            _ => complete_answer(&received.generate_request(), 4),
+        },
+    )
     .await
 }
 
@@ -55,15 +58,15 @@
     Step::Write(OK_HEAD.to_string())
 }
 
-struct ReadStream {
+struct ParsedStream {
     text: String,
     errors: Vec<String>,
     done: bool,
 }
 
-async fn read_stream(answer: Response) -> ReadStream {
+async fn read_stream(answer: Response) -> ParsedStream {
     let body = answer.text().await.unwrap();
-    let mut read = ReadStream {
+    let mut read = ParsedStream {
         text: String::new(),
         errors: Vec::new(),
         done: false,
@@ -83,42 +86,42 @@
     read
 }
 
-async fn expect_whole(bed: &TestBed) {
+async fn expect_complete(bed: &TestBed) {
     let read = read_stream(bed.chat(true, "x").send().await.unwrap()).await;
     assert_eq!(read.text, "t0 t1 t2 t3 ");
     assert!(read.done && read.errors.is_empty());
 }
 
-/// An engine dies in the middle of an answer. The shopper must get the rest, and
-/// no word twice.
+/// An engine crashes in the middle of an answer. The caller must receive the rest, and
+/// no token twice.
 #[tokio::test]
-async fn a_lost_engines_answer_goes_on_elsewhere() {
-    let dying = FakeEndpoint::start(|seen| {
-        let work = seen.generate();
+async fn an_answer_is_resumed_on_another_engine_after_a_crash() {
+    let crashing = FakeEndpoint::start(|received| {
+        let work = received.generate_request();
         let tokens = (0..2).map(|position| Step::Item(token(&work, position)));
         let steps = std::iter::once(head()).chain(tokens);
         steps.chain([Step::Gate, Step::Crash]).collect()
     })
     .await;
     let other = FakeEndpoint::engine(4).await;
-    let bed = bed_with(&[&dying]).await;
+    let bed = bed_with(&[&crashing]).await;
     let answer = bed.chat(true, "x").send().await.unwrap();
-    bed.list(listings(&[&dying, &other])).await;
-    dying.gate.add_permits(1);
+    bed.list(listings(&[&crashing, &other])).await;
+    crashing.gate.add_permits(1);
     let read = read_stream(answer).await;
     assert_eq!(read.text, "t0 t1 t2 t3 ");
     assert!(read.done && read.errors.is_empty());
-    let work = other.seen("/generate")[0].generate();
+    let work = other.received("/generate")[0].generate_request();
     let resumed = work.delivered.len() as u64;
     assert!(resumed <= 2 && work.attempt == 2, "{work:?}");
 }
 
 /// An engine answers probes but breaks every stream, while another one is healthy.
-/// The shopper must get the answer from the other one.
+/// The caller must receive the answer of the other engine.
 #[tokio::test]
-async fn an_engine_that_breaks_all_streams_is_left_for_another() {
-    let breaking = FakeEndpoint::start(|seen| {
-        let work = seen.generate();
+async fn an_engine_that_breaks_all_streams_is_excluded() {
+    let breaking = FakeEndpoint::start(|received| {
+        let work = received.generate_request();
         vec![
             head(),
             Step::Item(token(&work, work.delivered.len() as u64)),
@@ -126,13 +129,14 @@
     })
     .await;
     let healthy = FakeEndpoint::engine(4).await;
-    // Otherwise the router's rests after failures would mend it in the end.
+    // Otherwise the router would eject the engine after its failures, and the test would
+    // pass without the exclusion per request.
     let bed = TestBed::with_settings(|settings| {
         settings.traffic.routing.eject_after = 1_000;
     })
     .await;
     bed.list(listings(&[&breaking, &healthy])).await;
-    while breaking.seen("/generate").is_empty() {
+    while breaking.received("/generate").is_empty() {
         for number in 0..20 {
             let answer = bed.chat(true, &number.to_string()).send().await.unwrap();
             let read = read_stream(answer).await;
@@ -141,12 +145,12 @@
     }
 }
 
-/// A connection ends early without any error that TCP would show, and nobody else
-/// can finish. A caller must not take the half answer for the whole.
+/// A connection ends early without a TCP error, and no other engine can finish the
+/// answer. The caller must be able to tell the truncated answer from a complete one.
 #[tokio::test]
-async fn a_truncated_answer_is_never_called_whole() {
-    let engine = FakeEndpoint::start(|seen| {
-        let work = seen.generate();
+async fn a_truncated_answer_is_never_reported_as_complete() {
+    let engine = FakeEndpoint::start(|received| {
+        let work = received.generate_request();
         vec![
             head(),
             Step::Item(token(&work, work.delivered.len() as u64)),
@@ -157,13 +161,13 @@
     let read = read_stream(bed.chat(true, "x").send().await.unwrap()).await;
     assert!(!read.done);
     assert_eq!(read.errors, ["endpoint_lost"]);
-    let whole = bed.chat(false, "x").send().await.unwrap();
-    let whole: Value = whole.json().await.unwrap();
-    assert_eq!(whole["error"]["ran"], "unknown");
-    assert!(whole.get("choices").is_none());
+    let unstreamed = bed.chat(false, "x").send().await.unwrap();
+    let unstreamed: Value = unstreamed.json().await.unwrap();
+    assert_eq!(unstreamed["error"]["ran"], "unknown");
+    assert!(unstreamed.get("choices").is_none());
 }
 
-fn foreign(work: &GenerateRequest, position: u64) -> StreamItem {
+fn foreign_token(work: &GenerateRequest, position: u64) -> StreamItem {
     let mut item = token(work, position);
     if let StreamItem::Token { text, .. } = &mut item {
         *text = "foreign ".to_string();
@@ -171,47 +175,47 @@
     item
 }
 
-/// Items of another request, of an attempt that was given up, or that came before
-/// would put somebody else's words, or words twice, into the answer.
+/// Items of another request or of an abandoned attempt, and duplicates of earlier items,
+/// would put foreign or repeated text into the answer.
 #[tokio::test]
-async fn crossed_late_and_doubled_items_are_dropped() {
-    let engine = FakeEndpoint::start(|seen| {
-        let work = seen.generate();
-        let mut crossed = work.clone();
-        crossed.request = RequestId::new("r-of-another").unwrap();
-        let mut late = work.clone();
-        late.attempt = 9;
+async fn foreign_stale_and_duplicate_items_are_dropped() {
+    let engine = FakeEndpoint::start(|received| {
+        let work = received.generate_request();
+        let mut other_request = work.clone();
+        other_request.request = RequestId::new("r-of-another").unwrap();
+        let mut stale_attempt = work.clone();
+        stale_attempt.attempt = 9;
         let mut steps = vec![head()];
         for position in 0..4 {
-            steps.push(Step::Item(foreign(&crossed, position)));
-            steps.push(Step::Item(foreign(&late, position)));
+            steps.push(Step::Item(foreign_token(&other_request, position)));
+            steps.push(Step::Item(foreign_token(&stale_attempt, position)));
             steps.push(Step::Item(token(&work, position)));
             steps.push(Step::Item(token(&work, position)));
-            steps.push(Step::Item(end(&crossed, position + 1)));
+            steps.push(Step::Item(end(&other_request, position + 1)));
         }
-        steps.push(Step::Item(end(&late, 4)));
+        steps.push(Step::Item(end(&stale_attempt, 4)));
         steps.push(Step::Item(end(&work, 4)));
         steps
     })
     .await;
     let bed = bed_with(&[&engine]).await;
-    expect_whole(&bed).await;
+    expect_complete(&bed).await;
 }
 
-/// An engine leaves tokens out, or its end mark counts more than came.
+/// An engine omits tokens, or its end mark counts more tokens than it sent.
 #[tokio::test]
-async fn an_answer_with_a_gap_goes_on_from_before_the_gap() {
-    let gap = engine_with_first(|seen| {
-        let work = seen.generate();
+async fn an_answer_with_a_gap_is_resumed_before_the_gap() {
+    let gap = engine_with_first(|received| {
+        let work = received.generate_request();
         let items: [StreamItem; 3] = [token(&work, 0), token(&work, 2), end(&work, 3)];
         std::iter::once(head())
             .chain(items.map(Step::Item))
             .collect()
     })
     .await;
-    expect_whole(&bed_with(&[&gap]).await).await;
-    let long_end = engine_with_first(|seen| {
-        let work = seen.generate();
+    expect_complete(&bed_with(&[&gap]).await).await;
+    let long_end = engine_with_first(|received| {
+        let work = received.generate_request();
         vec![
             head(),
             Step::Item(token(&work, 0)),
@@ -219,16 +223,16 @@
         ]
     })
     .await;
-    expect_whole(&bed_with(&[&long_end]).await).await;
+    expect_complete(&bed_with(&[&long_end]).await).await;
 }
 
-/// A middlebox loses track of a connection: it stays silent for good, while new
-/// connections to the same engine work. Without a limit the shopper waits for ever.
+/// A middlebox drops the state of a connection, which becomes unresponsive, while new
+/// connections to the same engine work. Without a timeout the caller would wait for ever.
 #[tokio::test]
-async fn a_silent_connection_is_given_up_for_a_new_one() {
-    let engine = engine_with_first(|seen| {
-        let work = seen.generate();
-        vec![head(), Step::Item(token(&work, 0)), Step::Silence]
+async fn an_unresponsive_connection_is_replaced_by_a_new_one() {
+    let engine = engine_with_first(|received| {
+        let work = received.generate_request();
+        vec![head(), Step::Item(token(&work, 0)), Step::Hang]
     })
     .await;
     let limit = TimeSpan::from_millis(300);
@@ -236,25 +240,26 @@
     let address = engine.address.to_string();
     bed.list(vec![listing("engine-1", EndpointKind::Engine, &address)])
         .await;
-    expect_whole(&bed).await;
-    let seen = engine.seen("/generate");
-    assert_eq!(seen.len(), 2);
-    assert_ne!(seen[0].connection, seen[1].connection);
-    assert_eq!(seen[1].generate().delivered, ["t0 "]);
+    expect_complete(&bed).await;
+    let received = engine.received("/generate");
+    assert_eq!(received.len(), 2);
+    assert_ne!(received[0].connection, received[1].connection);
+    assert_eq!(received[1].generate_request().delivered, ["t0 "]);
     assert_eq!(
         engine.cancelled().len(),
         1,
-        "the engine heard of the old attempt's end"
+        "cancellations of the lost attempt at the engine"
     );
 }
 
-/// Most callers walk away before the answer is whole. The engine must hear of it,
-/// at the prompt, between tokens, and for answers that are not streamed.
+/// Many callers disconnect before the answer is complete. The engine must receive a
+/// cancellation before the first token, between tokens, and for answers that are not
+/// streamed.
 #[tokio::test]
-async fn a_caller_who_leaves_is_cancelled_at_the_engine() {
+async fn a_disconnected_callers_request_is_cancelled_at_the_engine() {
     for (stream, tokens) in [(true, 0), (true, 2), (false, 0), (false, 2)] {
-        let engine = FakeEndpoint::start(move |seen| {
-            let work = seen.generate();
+        let engine = FakeEndpoint::start(move |received| {
+            let work = received.generate_request();
             let tokens = (0..tokens).map(|position| Step::Item(token(&work, position)));
             std::iter::once(head())
                 .chain(tokens)
@@ -283,20 +288,20 @@
     }
 }
 
-/// An instance is replaced while answers stream. Each must reach its end, and new
-/// callers must hear at once that they should go elsewhere.
+/// An instance is stopped while answers are in progress. Each must complete, and new
+/// requests must be refused at once, so that callers can use another instance.
 #[tokio::test]
-async fn stopping_cuts_no_answer() {
-    let engine = FakeEndpoint::start(|seen| {
-        let mut steps = whole_answer(&seen.generate(), 4);
+async fn stopping_truncates_no_answer() {
+    let engine = FakeEndpoint::start(|received| {
+        let mut steps = complete_answer(&received.generate_request(), 4);
         steps.insert(3, Step::Gate);
         steps
     })
     .await;
     let bed = bed_with(&[&engine]).await;
     let streamed = bed.chat(true, "x").send().await.unwrap();
-    let whole = bed.chat(false, "y").send().await.unwrap();
-    eventually(async || engine.seen("/generate").len() == 2).await;
+    let unstreamed = bed.chat(false, "y").send().await.unwrap();
+    eventually(async || engine.received("/generate").len() == 2).await;
     let (url, ready) = (bed.url("/v1/chat/completions"), bed.url("/ready"));
     let TestBed {
         platform,
@@ -328,19 +333,22 @@
     engine.gate.add_permits(2);
     let read = read_stream(streamed).await;
     assert!(read.done && read.text == "t0 t1 t2 t3 ");
-    let whole: Value = whole.json().await.unwrap();
-    assert_eq!(whole["choices"][0]["message"]["content"], "t0 t1 t2 t3 ");
-    tokio::time::timeout(support::PATIENCE, stopping)
+    let unstreamed: Value = unstreamed.json().await.unwrap();
+    assert_eq!(
+        unstreamed["choices"][0]["message"]["content"],
+        "t0 t1 t2 t3 "
+    );
+    tokio::time::timeout(support::TEST_TIMEOUT, stopping)
         .await
         .unwrap()
         .unwrap();
 }
 
-/// A key leaks and is withdrawn while its holder has a long answer running.
+/// A leaked key is withdrawn while an answer to its holder is in progress.
 #[tokio::test]
-async fn a_withdrawn_key_ends_its_running_answers() {
-    let engine = FakeEndpoint::start(|seen| {
-        let mut steps = whole_answer(&seen.generate(), 4);
+async fn a_withdrawn_key_ends_its_answers_in_progress() {
+    let engine = FakeEndpoint::start(|received| {
+        let mut steps = complete_answer(&received.generate_request(), 4);
         steps.insert(3, Step::Gate);
         steps
     })
@@ -359,21 +367,26 @@
     assert_eq!(refused.status(), 401);
 }
 
-/// The deadline passes before the first token. The caller has left for its train, so
-/// the engine must stop, and no other one must start.
+/// The deadline passes before the first token. The caller no longer needs the answer, so
+/// the engine must stop, and no other engine must start.
 #[tokio::test]
-async fn work_ends_everywhere_when_its_deadline_passes() {
+async fn a_request_ends_at_all_engines_at_its_deadline() {
     let engines = [
-        FakeEndpoint::start(|_| vec![head(), Step::Silence]).await,
-        FakeEndpoint::start(|_| vec![head(), Step::Silence]).await,
+        FakeEndpoint::start(|_| vec![head(), Step::Hang]).await,
+        FakeEndpoint::start(|_| vec![head(), Step::Hang]).await,
     ];
     let bed = bed_with(&[&engines[0], &engines[1]]).await;
     let answer = bed.chat(false, "x").header("x-deadline-ms", "500");
     let answer: Value = answer.send().await.unwrap().json().await.unwrap();
     assert_eq!(answer["error"]["code"], "deadline_exceeded");
     assert_eq!(answer["error"]["ran"], "unknown");
-    let seen = |path: &str| engines.iter().map(|e| e.seen(path).len()).sum::<usize>();
-    eventually(async || seen("/cancel") == 1).await;
-    assert_eq!(seen("/generate"), 1);
-    assert_eq!(seen("/health"), 0);
+    let received = |path: &str| {
+        engines
+            .iter()
+            .map(|e| e.received(path).len())
+            .sum::<usize>()
+    };
+    eventually(async || received("/cancel") == 1).await;
+    assert_eq!(received("/generate"), 1);
+    assert_eq!(received("/health"), 0);
 }
--- a/crates/entry/tests/at_most_once.rs
+++ b/crates/entry/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Charges, cut orders and unlocks: at most once, and true refusals.
+//! Calls that must run at most once, and refusals that state correctly whether they ran.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use support::{
     TestBed, call_to,
-    endpoint::{FakeEndpoint, SeenRequest, Step, plain_answer},
+    endpoint::{FakeEndpoint, ReceivedRequest, Step, plain_answer},
     eventually, listing, settings, start_entry, wait_ready, wait_routed,
 };
 
@@ -40,17 +40,17 @@
         .body("five")
 }
 
-struct ErrorSeen {
+struct ErrorAnswer {
     status: u16,
     code: String,
     ran: String,
 }
 
-async fn error(answer: Response) -> ErrorSeen {
+async fn error(answer: Response) -> ErrorAnswer {
     let status = answer.status().as_u16();
     let body: Value = answer.json().await.unwrap();
     let text = |name: &str| body["error"][name].as_str().unwrap().to_string();
-    ErrorSeen {
+    ErrorAnswer {
         status,
         code: text("code"),
         ran: text("ran"),
@@ -58,46 +58,46 @@
 }
 
 async fn expect_error(request: RequestBuilder, status: u16, code: &str, ran: &str) {
-    let seen = error(request.send().await.unwrap()).await;
+    let received = error(request.send().await.unwrap()).await;
     let expected = (status, code.to_string(), ran.to_string());
-    assert_eq!((seen.status, seen.code, seen.ran), expected);
+    assert_eq!((received.status, received.code, received.ran), expected);
 }
 
-fn settled(bed: &TestBed, wanted: impl Fn(&SettledResult) -> bool) -> bool {
+fn settled(bed: &TestBed, predicate: impl Fn(&SettledResult) -> bool) -> bool {
     bed.platform.records().iter().any(|record| match record {
-        LogRecord::Settlements(batch) => batch.settlements.iter().any(|s| wanted(&s.result)),
+        LogRecord::Settlements(batch) => batch.settlements.iter().any(|s| predicate(&s.result)),
         _ => false,
     })
 }
 
-/// The service dies after it has read a charge. Whether the customer was charged
-/// nobody knows; a second try elsewhere could charge twice.
+/// The service crashes after it has read a charge. Whether the charge was made is
+/// unknown; a retry on another endpoint could charge twice.
 #[tokio::test]
-async fn a_charge_whose_service_dies_is_not_sent_again() {
-    let dying = FakeEndpoint::start(|_| vec![Step::Gate, Step::Crash]).await;
+async fn a_charge_is_not_retried_after_its_service_crashes() {
+    let crashing = FakeEndpoint::start(|_| vec![Step::Gate, Step::Crash]).await;
     let other = charging().await;
-    let bed = bed_with(&[&dying]).await;
+    let bed = bed_with(&[&crashing]).await;
     let first = tokio::spawn(charge(&bed, "k1").send());
-    eventually(async || !dying.seen("/charge").is_empty()).await;
-    bed.list(listings(&[&dying, &other])).await;
-    dying.gate.add_permits(1);
+    eventually(async || !crashing.received("/charge").is_empty()).await;
+    bed.list(listings(&[&crashing, &other])).await;
+    crashing.gate.add_permits(1);
     let first = error(first.await.unwrap().unwrap()).await;
     assert_eq!(
         (first.code.as_str(), first.ran.as_str()),
         ("endpoint_lost", "unknown")
     );
     expect_error(charge(&bed, "k1"), 409, "outcome_unknown", "unknown").await;
-    assert_eq!(dying.seen("/charge").len(), 1);
-    assert!(other.seen("/charge").is_empty());
+    assert_eq!(crashing.received("/charge").len(), 1);
+    assert!(other.received("/charge").is_empty());
 }
 
-/// HTTP libraries repeat a request when the kept connection that they chose turns
-/// out closed. Here the service keeps connections open and ends just after it has
-/// read a charge; a repeat by the library would charge twice.
+/// HTTP clients retry a request when the pooled connection that they chose turns out to
+/// be closed. Here the service keeps connections open and crashes just after it has read
+/// a charge; a retry by the client would charge twice.
 #[tokio::test]
-async fn no_library_repeats_a_charge() {
-    let service = FakeEndpoint::start(|seen: &SeenRequest| {
-        if seen.body.contains("last") {
+async fn the_http_client_does_not_retry_a_charge() {
+    let service = FakeEndpoint::start(|received: &ReceivedRequest| {
+        if received.body.contains("last") {
             return vec![Step::Crash];
         }
         plain_answer("200 OK", "")
@@ -110,9 +110,9 @@
     }
     let last = bed.call("POST", "/charge").body("last");
     expect_error(last, 502, "endpoint_lost", "unknown").await;
-    let seen = service.seen("/charge");
-    assert_eq!(seen.len(), 6);
-    let mut connections: Vec<u64> = seen.iter().map(|request| request.connection).collect();
+    let received = service.received("/charge");
+    assert_eq!(received.len(), 6);
+    let mut connections: Vec<u64> = received.iter().map(|request| request.connection).collect();
     connections.dedup();
     assert_eq!(
         connections.len(),
@@ -121,24 +121,24 @@
     );
 }
 
-/// A lookup that is lost may be repeated, and is.
+/// A lookup may be repeated, so it is retried when its endpoint crashes.
 #[tokio::test]
-async fn a_lookup_goes_on_elsewhere() {
-    let dying = FakeEndpoint::start(|_| vec![Step::Crash]).await;
+async fn a_lost_lookup_is_retried_on_another_endpoint() {
+    let crashing = FakeEndpoint::start(|_| vec![Step::Crash]).await;
     let other = FakeEndpoint::start(|_| plain_answer("200 OK", "found")).await;
-    let bed = bed_with(&[&dying, &other]).await;
-    while dying.seen("/lookup").is_empty() {
+    let bed = bed_with(&[&crashing, &other]).await;
+    while crashing.received("/lookup").is_empty() {
         let answer = bed.call("GET", "/lookup/3").send().await.unwrap();
         assert_eq!(answer.text().await.unwrap(), "found");
     }
 }
 
-/// A kept connection to the only replica goes silent for good, while new ones work.
-/// Without a limit all lookups on it would wait out their deadlines.
+/// A pooled connection to the only replica becomes unresponsive, while new ones work.
+/// Without a timeout all lookups on it would wait until their deadlines.
 #[tokio::test]
-async fn a_lookup_on_a_silent_connection_is_sent_on_a_new_one() {
-    let service = FakeEndpoint::start(|seen| match seen.connection {
-        0 => vec![Step::Silence],
+async fn a_lookup_on_an_unresponsive_connection_is_retried_on_a_new_one() {
+    let service = FakeEndpoint::start(|received| match received.connection {
+        0 => vec![Step::Hang],
         _ => plain_answer("200 OK", "found"),
     })
     .await;
@@ -147,28 +147,33 @@
     bed.list(listings(&[&service])).await;
     let answer = bed.call("GET", "/lookup/3").send().await.unwrap();
     assert_eq!(answer.status(), 200);
-    assert_eq!(service.seen("/lookup").len(), 2);
+    assert_eq!(service.received("/lookup").len(), 2);
 }
 
-/// Nothing listens at the chosen replica. No byte left, so even a charge may go
-/// to another one, and the caller notices nothing.
+/// The chosen replica refuses connections. No byte was sent, so even a charge may be
+/// sent to another replica, and the caller receives its answer.
 #[tokio::test]
-async fn a_charge_that_found_no_connection_goes_elsewhere() {
-    let dead = charging().await;
+async fn a_charge_that_was_not_sent_is_sent_to_another_endpoint() {
+    let stopped = charging().await;
     let other = charging().await;
-    let bed = bed_with(&[&dead, &other]).await;
-    dead.crash();
-    eventually(async || tokio::net::TcpStream::connect(dead.address).await.is_err()).await;
-    // The choice is drawn, so some of many find the dead one first.
+    let bed = bed_with(&[&stopped, &other]).await;
+    stopped.crash();
+    eventually(async || {
+        tokio::net::TcpStream::connect(stopped.address)
+            .await
+            .is_err()
+    })
+    .await;
+    // The router chooses at random, so some of the 20 calls try the stopped replica first.
     for number in 0..20 {
         let answer = charge(&bed, &format!("k{number}")).send().await.unwrap();
         assert_eq!(answer.status(), 201);
     }
-    assert_eq!(other.seen("/charge").len(), 20);
+    assert_eq!(other.received("/charge").len(), 20);
 }
 
 #[tokio::test]
-async fn a_repeat_gets_the_recorded_answer() {
+async fn a_repeat_returns_the_recorded_answer() {
     let service = charging().await;
     let bed = bed_with(&[&service]).await;
     let first = charge(&bed, "k1").send().await.unwrap();
@@ -181,13 +186,13 @@
     .await;
     let other = bed.call("POST", "/charge").header("idempotency-key", "k1");
     expect_error(other.body("six"), 422, "idempotency_key_reused", "not_run").await;
-    assert_eq!(service.seen("/charge").len(), 1);
+    assert_eq!(service.received("/charge").len(), 1);
 }
 
-/// The caller loses patience and sends the same charge to a second entry while
-/// the first one is still at it. Two charges would be a refund dispute.
+/// The caller sends the same charge to a second entry while the first one is still
+/// processing it. It must be charged only once.
 #[tokio::test]
-async fn one_key_at_two_entries_at_once_is_sent_once() {
+async fn concurrent_calls_with_one_key_at_two_entries_are_sent_once() {
     let service = FakeEndpoint::start(|_| {
         let mut steps = vec![Step::Gate];
         steps.extend(plain_answer("201 Created", "charged"));
@@ -216,12 +221,12 @@
         }
     }
     assert_eq!(charged, 1);
-    assert_eq!(service.seen("/charge").len(), 1);
+    assert_eq!(service.received("/charge").len(), 1);
 }
 
-/// An entry is killed somewhere between its claim and the answer; its caller sends
-/// the charge to another entry. The claim stands for good: nobody can tell whether
-/// the charge was sent.
+/// An entry is killed between its claim and the answer, and its caller sends the charge
+/// to another entry. The claim stays valid for ever, because it is unknown whether the
+/// charge was sent.
 #[tokio::test]
 async fn a_claim_of_a_killed_entry_is_not_taken_over() {
     let service = charging().await;
@@ -231,7 +236,7 @@
     bed.platform.publish(&LogRecord::Claims(ClaimBatch {
         claims: vec![IdempotencyClaim {
             key: IdempotencyKey::new("k1").unwrap(),
-            request: RequestId::new("r-of-the-dead").unwrap(),
+            request: RequestId::new("r-of-killed-entry").unwrap(),
             fingerprint: RequestFingerprint::with_content(&organisation, content),
             entry: "entry-9".parse().unwrap(),
             organisation,
@@ -240,61 +245,65 @@
     for _ in 0..3 {
         expect_error(charge(&bed, "k1"), 409, "outcome_unknown", "unknown").await;
     }
-    assert!(service.seen("/charge").is_empty());
+    assert!(service.received("/charge").is_empty());
 }
 
-/// The log is down. A claim can't be made, so nothing may be sent, and the refusal
-/// must say so truly: the caller may try again at once elsewhere.
+/// The log is unavailable. The key can't be claimed, so nothing may be sent, and the
+/// refusal must report that the call did not run: the caller may retry at once at
+/// another entry.
 #[tokio::test]
-async fn without_the_log_a_marked_charge_is_refused_as_not_run() {
+async fn a_charge_with_a_key_is_refused_as_not_run_while_the_log_is_down() {
     let service = charging().await;
     let bed = bed_with(&[&service]).await;
     bed.platform.set_appends_down(true);
     expect_error(charge(&bed, "k1"), 503, "claim_unavailable", "not_run").await;
-    assert!(service.seen("/charge").is_empty());
+    assert!(service.received("/charge").is_empty());
     bed.platform.set_appends_down(false);
     let answer = charge(&bed, "k1").send().await.unwrap();
     assert_eq!(answer.status(), 201);
 }
 
-/// The log takes a claim, but its answer is lost. The entry may not send, because
-/// another's claim may have come first; and once it has said "not run", the key
-/// must not stay blocked as if something had been sent.
+/// The log stores a claim, but its answer is lost. The entry must not send the call,
+/// because another entry's claim may precede its own; and after the refusal as not run
+/// the key must not stay blocked as if the call had been sent.
 #[tokio::test]
-async fn a_claim_of_unknown_fate_sends_nothing_and_frees_the_key() {
+async fn a_claim_with_a_lost_answer_sends_nothing_and_frees_the_key() {
     let service = charging().await;
     let bed = bed_with(&[&service]).await;
     bed.platform.set_lose_answers(true);
     expect_error(charge(&bed, "k1"), 503, "claim_unavailable", "not_run").await;
-    assert!(service.seen("/charge").is_empty());
+    assert!(service.received("/charge").is_empty());
     bed.platform.set_lose_answers(false);
     eventually(async || settled(&bed, |result| *result == SettledResult::NotRun)).await;
     eventually(async || charge(&bed, "k1").send().await.unwrap().status() == 201).await;
-    assert_eq!(service.seen("/charge").len(), 1);
+    assert_eq!(service.received("/charge").len(), 1);
 }
 
-/// The log is slow, and the caller's patience ends while its claim still waits. It
-/// is told "not run", and when the claim lands later, that must not block the key.
+/// The log is slow, and the caller's deadline passes while its claim is still being
+/// appended. The call is refused as not run, and the claim that is stored later must
+/// not block the key.
 #[tokio::test]
-async fn a_claim_that_lands_after_its_caller_left_frees_the_key() {
+async fn a_claim_stored_after_its_caller_was_refused_frees_the_key() {
     let service = charging().await;
     let bed = bed_with(&[&service]).await;
     bed.platform.set_hold_appends(true);
     let first = tokio::spawn(charge(&bed, "k0").send());
-    eventually(async || bed.platform.held() > 0).await;
+    eventually(async || bed.platform.held_appends() > 0).await;
     let call = charge(&bed, "k1").header("x-deadline-ms", "400");
     expect_error(call, 504, "deadline_exceeded", "not_run").await;
     bed.platform.set_hold_appends(false);
     eventually(async || charge(&bed, "k1").send().await.unwrap().status() == 201).await;
     drop(first.await);
-    let seen = service.seen("/charge");
-    let marked = seen.iter().filter(|request| request.head.contains("k1"));
-    assert_eq!(marked.count(), 1);
+    let received = service.received("/charge");
+    let with_key = received
+        .iter()
+        .filter(|request| request.head.contains("k1"));
+    assert_eq!(with_key.count(), 1);
 }
 
-/// An instance that is cut off from the log can't learn of withdrawn keys.
+/// An instance that is partitioned from the log does not receive withdrawals of keys.
 #[tokio::test]
-async fn a_cut_off_instance_refuses_charges_but_serves_lookups() {
+async fn a_partitioned_instance_refuses_charges_but_serves_lookups() {
     let service = charging().await;
     let bed = TestBed::with_settings(|settings| {
         settings.requests.freshness_bound = TimeSpan::from_millis(600);
@@ -313,10 +322,10 @@
     assert_eq!(lookup.status(), 201);
 }
 
-/// An operator allows a cut-off instance to serve lookups for a while only: a
-/// stolen key must not ask questions for as long as a cut may last.
+/// An operator limits how long a partitioned instance serves lookups, so that a stolen
+/// key that was withdrawn is not usable for the whole duration of a partition.
 #[tokio::test]
-async fn a_cut_off_instance_refuses_lookups_after_its_grace() {
+async fn a_partitioned_instance_refuses_lookups_after_its_grace_period() {
     let service = charging().await;
     let bed = TestBed::with_settings(|settings| {
         settings.requests.freshness_bound = TimeSpan::from_millis(600);
@@ -336,8 +345,8 @@
     eventually(async || bed.call("GET", "/lookup").send().await.unwrap().status() == 201).await;
 }
 
-/// The service takes longer than the caller waits. The caller is told that the
-/// outcome is unknown; when it asks again with the same key, it gets the outcome.
+/// The service takes longer than the caller's deadline. The caller is refused with an
+/// unknown outcome; a repeat with the same key returns the recorded answer.
 #[tokio::test]
 async fn a_late_outcome_is_recorded_for_the_repeat() {
     let service = FakeEndpoint::start(|_| {
@@ -355,11 +364,11 @@
         answer.status() == 201 && answer.headers().contains_key("idempotent-replayed")
     })
     .await;
-    assert_eq!(service.seen("/charge").len(), 1);
+    assert_eq!(service.received("/charge").len(), 1);
 }
 
-/// An instance is replaced while a charge is on its way. The charge must end, and
-/// its outcome must be in the log before the instance is gone.
+/// An instance is stopped while a charge is in progress. The charge must complete, and
+/// its outcome must be in the log before the instance exits.
 #[tokio::test]
 async fn stopping_waits_for_charges_and_their_settlements() {
     let service = FakeEndpoint::start(|_| {
@@ -370,7 +379,7 @@
     .await;
     let bed = bed_with(&[&service]).await;
     let charged = tokio::spawn(charge(&bed, "k1").send());
-    eventually(async || !service.seen("/charge").is_empty()).await;
+    eventually(async || !service.received("/charge").is_empty()).await;
     let ready = bed.url("/ready");
     let TestBed {
         platform,
--- a/crates/entry/tests/crashes.rs
+++ b/crates/entry/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash their engines, and endpoints that leave by plan.
+//! Requests that crash their engines, planned removals of endpoints, and admission.
 
 mod support;
 
@@ -13,25 +13,25 @@
 use serde_json::Value;
 use support::{
     TestBed,
-    endpoint::{FakeEndpoint, Step, whole_answer},
+    endpoint::{FakeEndpoint, Step, complete_answer},
     eventually, listing, settings, start_entry, wait_ready, wait_routed,
 };
 
-/// An engine that a prompt with "killer" crashes at once.
+/// Starts an engine that crashes at once on a prompt that contains "killer".
 async fn engine() -> FakeEndpoint {
-    engine_with_killer(&[Step::Crash]).await
+    engine_with_crash_steps(&[Step::Crash]).await
 }
 
-/// An engine that does `killer` with a prompt with "killer", and that keeps one
-/// with "held" waiting after two tokens.
-async fn engine_with_killer(killer: &[Step]) -> FakeEndpoint {
-    let killer = killer.to_vec();
-    FakeEndpoint::start(move |seen| {
-        let work = seen.generate();
+/// Starts an engine that runs `crash_steps` for a prompt that contains "killer" and
+/// holds an answer to a prompt with "held" after two tokens.
+async fn engine_with_crash_steps(crash_steps: &[Step]) -> FakeEndpoint {
+    let crash_steps = crash_steps.to_vec();
+    FakeEndpoint::start(move |received| {
+        let work = received.generate_request();
         if work.prompt.contains("killer") {
-            return killer.clone();
+            return crash_steps.clone();
         }
-        let mut steps = whole_answer(&work, 4);
+        let mut steps = complete_answer(&work, 4);
         let held = work.prompt.contains("held") && work.delivered.is_empty();
         if held {
             steps.insert(3, Step::Gate);
@@ -49,8 +49,8 @@
     engines.iter().enumerate().map(number).collect()
 }
 
-fn lost(engines: &[FakeEndpoint]) -> usize {
-    engines.iter().filter(|engine| engine.is_gone()).count()
+fn count_exited(engines: &[FakeEndpoint]) -> usize {
+    engines.iter().filter(|engine| engine.has_exited()).count()
 }
 
 fn crashes(bed: &TestBed) -> Vec<QuarantineRecord> {
@@ -70,29 +70,29 @@
     body["error"]["code"].as_str().unwrap().to_string()
 }
 
-/// One kiosk's request crashes every engine that runs it, and the kiosk sends it
-/// again, also through another entry. Without a memory of it the fleet is lost
-/// engine by engine. A shopper whose answer ran on the first one gets the rest.
+/// A request crashes every engine that runs it, and its caller repeats it, also through
+/// another entry. If the crashes were not recorded, all engines would be lost one by one.
+/// An unrelated answer in progress on the first engine must still be completed.
 #[tokio::test]
-async fn a_killer_costs_two_engines_and_bystanders_are_served() {
+async fn a_crashing_request_stops_only_two_engines_and_others_are_served() {
     let bed = TestBed::start().await;
-    let mut engines = vec![engine_with_killer(&[Step::Silence]).await];
+    let mut engines = vec![engine_with_crash_steps(&[Step::Hang]).await];
     bed.list(listings(&engines)).await;
-    let bystander = bed.chat(false, "held").send().await.unwrap();
-    eventually(async || engines[0].seen("/generate").len() == 1).await;
-    let killer = tokio::spawn(bed.chat(false, "killer").send());
-    eventually(async || engines[0].seen("/generate").len() == 2).await;
+    let unrelated = bed.chat(false, "held").send().await.unwrap();
+    eventually(async || engines[0].received("/generate").len() == 1).await;
+    let crashing = tokio::spawn(bed.chat(false, "killer").send());
+    eventually(async || engines[0].received("/generate").len() == 2).await;
     for _ in 0..4 {
         engines.push(engine().await);
     }
     bed.list(listings(&engines)).await;
     engines[0].crash();
-    let first = killer.await.unwrap().unwrap();
+    let first = crashing.await.unwrap().unwrap();
     assert_eq!(code(first).await, "request_quarantined");
-    assert_eq!(lost(&engines), 2);
-    let bystander: Value = bystander.json().await.unwrap();
+    assert_eq!(count_exited(&engines), 2);
+    let unrelated: Value = unrelated.json().await.unwrap();
     assert_eq!(
-        bystander["choices"][0]["message"]["content"],
+        unrelated["choices"][0]["message"]["content"],
         "t0 t1 t2 t3 "
     );
 
@@ -105,21 +105,25 @@
         assert_eq!(again.status(), 409);
         assert_eq!(code(again).await, "request_quarantined");
     }
-    assert_eq!(lost(&engines), 2);
+    assert_eq!(count_exited(&engines), 2);
     eventually(async || crashes(&bed).iter().any(|record| record.cleared)).await;
     let served = bed.chat(false, "held").send().await.unwrap();
-    assert_eq!(served.status(), 200, "the bystander is no suspect any more");
+    assert_eq!(
+        served.status(),
+        200,
+        "the unrelated request is no longer a suspect"
+    );
 }
 
-/// The platform takes an engine back while an answer runs there. That is no crash,
-/// and must not count against whoever ran there.
+/// The platform reclaims an engine while an answer runs there. That is no crash, and
+/// must not make the requests on it suspects.
 #[tokio::test]
-async fn an_endpoint_that_leaves_by_plan_makes_no_suspects() {
+async fn a_reclaimed_endpoint_makes_no_suspects() {
     let bed = TestBed::start().await;
     let mut engines = vec![engine().await];
     bed.list(listings(&engines)).await;
     let answer = bed.chat(false, "held").send().await.unwrap();
-    eventually(async || engines[0].seen("/generate").len() == 1).await;
+    eventually(async || engines[0].received("/generate").len() == 1).await;
     engines.push(engine().await);
     let mut listed = listings(&engines);
     listed[0].state = EndpointState::Reclaimed {
@@ -146,15 +150,15 @@
     })
 }
 
-/// An engine is marked as leaving before its role changes. New work must go
-/// elsewhere at once, and what runs there must run on.
+/// An engine is marked for draining before its role changes. New work must be sent to
+/// other engines at once, and work in progress must complete.
 #[tokio::test]
-async fn a_marked_endpoint_gets_no_new_work_and_keeps_the_old() {
+async fn a_draining_endpoint_receives_no_new_work_and_finishes_the_old() {
     let bed = TestBed::start().await;
     let mut engines = vec![engine().await];
     bed.list(listings(&engines)).await;
     let running = bed.chat(false, "held").send().await.unwrap();
-    eventually(async || engines[0].seen("/generate").len() == 1).await;
+    eventually(async || engines[0].received("/generate").len() == 1).await;
     engines.push(engine().await);
     bed.list(listings(&engines)).await;
     let fence = LogOffset::new(bed.platform.records().len() as u64);
@@ -186,17 +190,17 @@
             .unwrap();
         assert_eq!(answer.status(), 200);
     }
-    assert_eq!(engines[0].seen("/generate").len(), 1);
+    assert_eq!(engines[0].received("/generate").len(), 1);
     engines[0].gate.add_permits(1);
     let running: Value = running.json().await.unwrap();
     assert_eq!(running["choices"][0]["message"]["content"], "t0 t1 t2 t3 ");
     assert!(engines[0].cancelled().is_empty());
 }
 
-/// Work whose deadline can't be met, or one request too many of an organisation,
-/// is refused at once, so that the caller can do something else.
+/// A request whose deadline can't be met, or that exceeds the limit of requests in
+/// progress of its organisation, is refused at once, so that the caller need not wait.
 #[tokio::test]
-async fn what_cannot_be_served_in_time_is_refused_at_once() {
+async fn requests_that_cannot_be_served_in_time_are_refused_at_once() {
     let bed = TestBed::with_settings(|settings| {
         settings.traffic.engine_slots = 1;
         settings.traffic.admission.interactive_reserve = 0;
@@ -204,11 +208,11 @@
     .await;
     let engines = vec![engine().await];
     bed.list(listings(&engines)).await;
-    let hopeless = bed.chat(false, "x").header("x-deadline-ms", "20");
-    let hopeless = hopeless.send().await.unwrap();
-    assert_eq!(hopeless.status(), 503);
-    assert!(hopeless.headers().contains_key("retry-after"));
-    assert_eq!(code(hopeless).await, "overloaded");
+    let too_late = bed.chat(false, "x").header("x-deadline-ms", "20");
+    let too_late = too_late.send().await.unwrap();
+    assert_eq!(too_late.status(), 503);
+    assert!(too_late.headers().contains_key("retry-after"));
+    assert_eq!(code(too_late).await, "overloaded");
     let mut running = Vec::new();
     for number in 0..50 {
         let held = bed.chat(true, &format!("held {number}"));
@@ -221,10 +225,10 @@
     assert_eq!(code(one_more).await, "organisation_busy");
 }
 
-/// A shopper leaves while the request still waits for its turn. It must not be run
-/// for nobody, nor keep its place.
+/// A caller disconnects while its request is queued. The request must not be run, and
+/// must not keep its place in the queue.
 #[tokio::test]
-async fn a_caller_who_leaves_the_queue_is_not_served() {
+async fn a_queued_request_of_a_disconnected_caller_is_not_run() {
     let bed = TestBed::with_settings(|settings| {
         settings.traffic.engine_slots = 1;
         settings.traffic.admission.interactive_reserve = 0;
@@ -247,5 +251,5 @@
     assert!(running.text().await.unwrap().contains("[DONE]"));
     let next = bed.chat(false, "next").send().await.unwrap();
     assert_eq!(next.status(), 200);
-    assert_eq!(engines[0].seen("/generate").len(), 2);
+    assert_eq!(engines[0].received("/generate").len(), 2);
 }
--- a/crates/entry/tests/metering.rs
+++ b/crates/entry/tests/metering.rs
@@ -1,4 +1,4 @@
-//! What is metered: what was delivered, once.
+//! Metering: each delivered answer is counted once.
 
 mod support;
 
@@ -22,14 +22,14 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Metered {
+struct MeteredUsage {
     requests: u64,
     prompt_tokens: u64,
     output_tokens: u64,
 }
 
-fn metered(bed: &TestBed) -> Metered {
-    let mut sum = Metered::default();
+fn metered(bed: &TestBed) -> MeteredUsage {
+    let mut sum = MeteredUsage::default();
     for record in bed.platform.records() {
         let LogRecord::Usage(delta) = record else {
             continue;
@@ -44,8 +44,8 @@
     sum
 }
 
-fn figures(requests: u64, prompt_tokens: u64, output_tokens: u64) -> Metered {
-    Metered {
+fn usage(requests: u64, prompt_tokens: u64, output_tokens: u64) -> MeteredUsage {
+    MeteredUsage {
         requests,
         prompt_tokens,
         output_tokens,
@@ -60,7 +60,7 @@
         let answer = bed.chat(stream, "x").send().await.unwrap();
         answer.text().await.unwrap();
     }
-    eventually(async || metered(&bed) == figures(2, 14, 6)).await;
+    eventually(async || metered(&bed) == usage(2, 14, 6)).await;
     bed.entry.stop().await;
 }
 
@@ -82,23 +82,23 @@
         .text()
         .await
         .unwrap();
-    eventually(async || metered(&bed) == figures(1, 0, 0)).await;
+    eventually(async || metered(&bed) == usage(1, 0, 0)).await;
 }
 
-/// A caller leaves after a part of the answer. It must not be billed for tokens
-/// that it never got.
+/// A caller disconnects after a part of the answer. It must not be billed for tokens
+/// that were not sent to it.
 #[tokio::test]
-async fn a_cancelled_answer_bills_no_more_than_was_sent() {
-    let engine = FakeEndpoint::start(|seen| {
-        let work = seen.generate();
+async fn a_cancelled_answer_is_billed_only_for_sent_tokens() {
+    let engine = FakeEndpoint::start(|received| {
+        let work = received.generate_request();
         let tokens = (0..2).map(|position| Step::Item(token(&work, position)));
         let head = std::iter::once(Step::Write(OK_HEAD.to_string()));
         head.chain(tokens).chain([Step::Gate]).collect()
     })
     .await;
     let bed = bed_with(EndpointKind::Engine, &engine).await;
-    let whole = bed.chat(false, "x").send().await.unwrap();
-    drop(whole);
+    let unstreamed = bed.chat(false, "x").send().await.unwrap();
+    drop(unstreamed);
     let streamed = bed.chat(true, "x").send().await.unwrap();
     let mut body = streamed.bytes_stream();
     let mut text = String::new();
@@ -108,13 +108,14 @@
     }
     drop(body);
     eventually(async || engine.cancelled().len() == 2).await;
-    eventually(async || metered(&bed) == figures(1, 0, 2)).await;
+    eventually(async || metered(&bed) == usage(1, 0, 2)).await;
 }
 
-/// The log is down while answers are delivered, and later takes a record without
-/// its answer being heard. The first must still be billed, the second at most once.
+/// The log is unavailable while an answer is delivered, and later stores a usage record
+/// but its answer to the append is lost. The first answer must still be billed, the
+/// second at most once.
 #[tokio::test]
-async fn an_outage_loses_nothing_and_a_lost_answer_doubles_nothing() {
+async fn usage_is_not_lost_in_an_outage_and_not_doubled_by_a_lost_answer() {
     let engine = FakeEndpoint::engine(3).await;
     let bed = bed_with(EndpointKind::Engine, &engine).await;
     bed.platform.set_appends_down(true);
@@ -125,10 +126,10 @@
         .text()
         .await
         .unwrap();
-    // One append gives up after a second, at ten tries in a second.
-    eventually(async || bed.platform.refused() > 15).await;
+    // An append times out after a second, with ten attempts in that second.
+    eventually(async || bed.platform.refused_appends() > 15).await;
     bed.platform.set_appends_down(false);
-    eventually(async || metered(&bed) == figures(1, 7, 3)).await;
+    eventually(async || metered(&bed) == usage(1, 7, 3)).await;
     bed.platform.set_lose_answers(true);
     bed.chat(true, "x")
         .send()
@@ -147,8 +148,8 @@
         .text()
         .await
         .unwrap();
-    // Readers drop the copies of the append that was sent again. Figures that were
-    // put back would have come with the third answer's.
+    // Readers of the log drop the duplicates of the retried append. Usage that was wrongly
+    // queued again would be recorded together with that of the third answer.
     let tokens = async || {
         let dump = bed.http.get(bed.url("/dump")).send().await.unwrap();
         let dump: serde_json::Value = dump.json().await.unwrap();
--- a/crates/entry/tests/refused_bodies.rs
+++ b/crates/entry/tests/refused_bodies.rs
@@ -1,4 +1,4 @@
-//! Refusals of requests whose body is still on its way.
+//! Refusals of requests whose body is still being sent.
 
 mod support;
 
@@ -9,10 +9,10 @@
     net::TcpStream,
 };
 
-/// More than the buffers of a connection take in at both its ends.
+/// More than the socket buffers at both ends of a connection hold.
 const BODY_BYTES: usize = 32 * 1024 * 1024;
 
-/// Sends all of a large body, as many clients do, and only then reads.
+/// Sends a large body completely before it reads the answer, as many clients do.
 async fn send_then_read(entry: &RunningEntry, path: &str, key: &str) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(entry.http_address).await?;
     let head = format!(
@@ -26,9 +26,9 @@
     Ok(answer)
 }
 
-/// A caller sends far too much, or sends much with a key that is no longer good.
-/// If the entry answered and closed on unread bytes, the caller would see a reset
-/// connection, and could not tell that nothing ran.
+/// A caller sends a body that is too large, or a large one with an invalid key. If the
+/// entry answered and closed the connection with bytes unread, the caller would receive
+/// a connection reset instead of the refusal, and could not tell that nothing ran.
 #[tokio::test]
 async fn a_refusal_reaches_a_caller_that_is_still_sending() {
     let engine = FakeEndpoint::engine(1).await;
@@ -45,5 +45,5 @@
         assert!(answer.contains(code), "{path} {key}: {answer}");
         assert!(answer.contains("not_run"), "{path} {key}: {answer}");
     }
-    assert_eq!(engine.seen("/generate").len(), 0);
+    assert_eq!(engine.received("/generate").len(), 0);
 }
--- a/crates/entry/tests/serving.rs
+++ b/crates/entry/tests/serving.rs
@@ -1,4 +1,4 @@
-//! Requests that are served, and requests that are refused, each with a clear answer.
+//! Answers to valid requests, and refusals of invalid ones.
 
 mod support;
 
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test]
-async fn streams_and_whole_answers_are_served() {
+async fn streamed_and_unstreamed_answers_are_served() {
     let engine = FakeEndpoint::engine(3).await;
     let bed = bed_with_engine(&engine).await;
     let streamed = bed.chat(true, "hello").send().await.unwrap();
@@ -36,11 +36,11 @@
     assert_eq!(third["choices"][0]["delta"]["content"], "t2 ");
     assert_eq!(events[4], "[DONE]");
 
-    let whole = bed.chat(false, "hello").send().await.unwrap();
-    let whole: Value = whole.json().await.unwrap();
-    assert_eq!(whole["choices"][0]["message"]["content"], "t0 t1 t2 ");
-    assert_eq!(whole["usage"]["prompt_tokens"], 7);
-    assert_eq!(whole["usage"]["completion_tokens"], 3);
+    let unstreamed = bed.chat(false, "hello").send().await.unwrap();
+    let unstreamed: Value = unstreamed.json().await.unwrap();
+    assert_eq!(unstreamed["choices"][0]["message"]["content"], "t0 t1 t2 ");
+    assert_eq!(unstreamed["usage"]["prompt_tokens"], 7);
+    assert_eq!(unstreamed["usage"]["completion_tokens"], 3);
     let demand = bed.http.get(bed.url("/demand")).send().await.unwrap();
     let demand: Value = demand.json().await.unwrap();
     assert_eq!(demand[0]["pool"], serde_json::json!({"model": "m1"}));
@@ -66,10 +66,10 @@
         .unwrap()
         .to_string();
     assert_eq!(answer.text().await.unwrap(), "charged");
-    let seen = &service.seen("/charge")[0];
-    assert_eq!(seen.line, "POST /charge?till=4 HTTP/1.1");
-    assert_eq!(seen.body, "five");
-    let head = seen.head.to_ascii_lowercase();
+    let received = &service.received("/charge")[0];
+    assert_eq!(received.line, "POST /charge?till=4 HTTP/1.1");
+    assert_eq!(received.body, "five");
+    let head = received.head.to_ascii_lowercase();
     assert!(head.contains(&format!("x-request-id: {id}")));
     assert!(head.contains("content-type: text/plain"));
     assert!(
@@ -78,15 +78,15 @@
     );
 }
 
-struct BadCase {
+struct InvalidRequest {
     name: &'static str,
     request: reqwest::RequestBuilder,
     status: u16,
     code: &'static str,
 }
 
-fn bad_cases(bed: &TestBed) -> Vec<BadCase> {
-    let case = |name, request, status, code| BadCase {
+fn invalid_requests(bed: &TestBed) -> Vec<InvalidRequest> {
+    let case = |name, request, status, code| InvalidRequest {
         name,
         request,
         status,
@@ -164,18 +164,18 @@
 }
 
 #[tokio::test]
-async fn bad_requests_are_refused_clearly_and_the_entry_goes_on() {
+async fn invalid_requests_are_refused_and_the_entry_keeps_serving() {
     let engine = FakeEndpoint::engine(1).await;
     let bed = bed_with_engine(&engine).await;
-    for case in bad_cases(&bed) {
+    for case in invalid_requests(&bed) {
         let answer = case.request.send().await.unwrap();
         assert_eq!(answer.status(), case.status, "{}", case.name);
         let id = answer.headers()["x-request-id"]
             .to_str()
             .unwrap()
             .to_string();
-        let comes_back = answer.headers().contains_key("retry-after");
-        assert_eq!(comes_back, case.status == 503, "{}", case.name);
+        let has_retry_after = answer.headers().contains_key("retry-after");
+        assert_eq!(has_retry_after, case.status == 503, "{}", case.name);
         let body: Value = answer.json().await.unwrap();
         assert_eq!(body["error"]["code"], case.code, "{}", case.name);
         assert_eq!(body["error"]["ran"], "not_run", "{}", case.name);
@@ -187,9 +187,9 @@
     assert!(!dump.text().await.unwrap().contains(support::KEY));
 }
 
-/// A call whose path has dot segments is matched against the rules by one path and
-/// reaches the service by another: a charge that passes for a lookup is repeated,
-/// and the customer is charged twice.
+/// A path with dot segments would be matched against the rules as one path and reach the
+/// service as another: a charge classified as a lookup would be retried, and could be
+/// made twice.
 #[tokio::test]
 async fn a_path_with_dot_segments_is_refused() {
     use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
@@ -212,20 +212,20 @@
         assert!(answer.starts_with("HTTP/1.1 400"), "{path}: {answer}");
         assert!(answer.contains("invalid_request"), "{path}: {answer}");
     }
-    assert!(service.seen("HTTP").is_empty());
+    assert!(service.received("HTTP").is_empty());
 }
 
-/// Where engines have roles, one takes the prompt and hands its KV cache to the one
-/// that answers; if that fails, the answer must still come whole.
+/// Where engines have roles, the prefill engine computes the prompt and hands its KV cache
+/// over to the decode engine; if that fails, the answer must still be complete.
 #[tokio::test]
 async fn a_prompt_is_handed_over_from_prefill_to_decode() {
     for export in ["200 OK", "500 Internal Server Error"] {
         let handle = r#"{"address":"127.0.0.1:1","request":"r","size":1}"#;
-        let prefill = FakeEndpoint::start(move |seen| {
-            if seen.line.contains("/kv/export") {
+        let prefill = FakeEndpoint::start(move |received| {
+            if received.line.contains("/kv/export") {
                 return plain_answer(export, handle);
             }
-            let work = seen.generate();
+            let work = received.generate_request();
             assert!(work.prefill_only);
             let head = Step::Write(OK_HEAD.to_string());
             vec![head, Step::Item(endpoint::end(&work, 0))]
@@ -243,24 +243,24 @@
             slots.iter().all(|slot| !slot["status"].is_null())
         })
         .await;
-        // The router hears of the roles at its next tick.
+        // The router receives the roles at its next tick.
         bed.wait_roles(2).await;
-        let whole = bed.chat(false, "hello").send().await.unwrap();
-        let whole: Value = whole.json().await.unwrap();
-        assert_eq!(whole["choices"][0]["message"]["content"], "t0 t1 t2 ");
-        let work = decode.seen("/generate")[0].generate();
+        let unstreamed = bed.chat(false, "hello").send().await.unwrap();
+        let unstreamed: Value = unstreamed.json().await.unwrap();
+        assert_eq!(unstreamed["choices"][0]["message"]["content"], "t0 t1 t2 ");
+        let work = decode.received("/generate")[0].generate_request();
         assert_eq!(work.import.is_some(), export == "200 OK");
-        assert_eq!(prefill.seen("/generate").len(), 1);
+        assert_eq!(prefill.received("/generate").len(), 1);
     }
 }
 
-/// Two entries serve one organisation. What one of them has running counts at the
-/// other, or an organisation that spreads its work over entries gets more than its
-/// share, and an engine that one entry has filled looks idle to the other.
+/// Two entries serve one organisation. The work in progress at one must count at the
+/// other; otherwise an organisation that spreads its requests over entries exceeds its
+/// share, and an engine that one entry has filled appears idle to the other.
 #[tokio::test]
-async fn entries_hear_of_each_others_work() {
-    let engine = FakeEndpoint::start(|seen| {
-        let mut steps = endpoint::whole_answer(&seen.generate(), 3);
+async fn entries_receive_each_others_load() {
+    let engine = FakeEndpoint::start(|received| {
+        let mut steps = endpoint::complete_answer(&received.generate_request(), 3);
         steps.insert(2, Step::Gate);
         steps
     })
--- a/crates/entry/tests/support/endpoint.rs
+++ b/crates/entry/tests/support/endpoint.rs
@@ -1,4 +1,4 @@
-//! A fake endpoint over raw TCP, so that it can break a connection anywhere.
+//! A fake endpoint over raw TCP, which can break a connection at any point.
 
 use std::{
     net::SocketAddr,
@@ -20,7 +20,7 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// What the fake does with a request, one step after the other.
+/// A step of the fake endpoint's reaction to a request; steps run in order.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// Writes raw bytes.
@@ -29,38 +29,38 @@
     Item(StreamItem),
     /// Waits for a permit of [`FakeEndpoint::gate`].
     Gate,
-    /// Says nothing more, but keeps the connection open.
-    Silence,
-    /// The whole process ends: connections break, nothing listens any more.
+    /// Sends nothing more, but keeps the connection open.
+    Hang,
+    /// The process exits: connections break, and new ones are refused.
     Crash,
 }
 
-/// A request as it came over the wire.
+/// A request as it was received.
 #[derive(Clone, Debug)]
-pub struct SeenRequest {
+pub struct ReceivedRequest {
     pub line: String,
     pub head: String,
     pub body: String,
-    /// Which connection it came on, counted from 0.
+    /// Index of the connection that carried it, counted from 0.
     pub connection: u64,
 }
 
-impl SeenRequest {
-    pub fn generate(&self) -> GenerateRequest {
+impl ReceivedRequest {
+    pub fn generate_request(&self) -> GenerateRequest {
         serde_json::from_str(&self.body).unwrap()
     }
 }
 
-type Script = Arc<dyn Fn(&SeenRequest) -> Vec<Step> + Send + Sync>;
+type Script = Arc<dyn Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync>;
 
 #[derive(Clone)]
 pub struct FakeEndpoint {
     pub address: SocketAddr,
-    /// Lets steps of [`Step::Gate`] go on.
+    /// Each permit lets one [`Step::Gate`] continue.
     pub gate: Arc<Semaphore>,
-    seen: Arc<Mutex<Vec<SeenRequest>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
     status: Arc<Mutex<Option<EngineStatus>>>,
-    alive: CancellationToken,
+    exited: CancellationToken,
     script: Script,
 }
 
@@ -86,8 +86,8 @@
     }
 }
 
-/// The steps of an answer of `length` tokens that continues what was delivered.
-pub fn whole_answer(work: &GenerateRequest, length: u64) -> Vec<Step> {
+/// The steps of an answer of `length` tokens in all that resumes after the delivered ones.
+pub fn complete_answer(work: &GenerateRequest, length: u64) -> Vec<Step> {
     let mut steps = vec![Step::Write(OK_HEAD.to_string())];
     let from = work.delivered.len() as u64;
     steps.extend((from..length).map(|position| Step::Item(token(work, position))));
@@ -104,30 +104,32 @@
 }
 
 impl FakeEndpoint {
-    /// An endpoint that answers `/generate` or a plain call as `script` says.
+    /// Starts an endpoint that answers `/generate` and plain calls with the steps that
+    /// `script` returns.
     pub async fn start<Answer>(script: Answer) -> FakeEndpoint
     where
-        Answer: Fn(&SeenRequest) -> Vec<Step> + Send + Sync + 'static,
+        Answer: Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
     {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let endpoint = FakeEndpoint {
             address: listener.local_addr().unwrap(),
             gate: Arc::new(Semaphore::new(0)),
-            seen: Arc::default(),
+            received: Arc::default(),
             status: Arc::default(),
-            alive: CancellationToken::new(),
+            exited: CancellationToken::new(),
             script: Arc::new(script),
         };
         tokio::spawn(endpoint.clone().accept(listener));
         endpoint
     }
 
-    /// An engine that answers each request with `length` tokens.
+    /// Starts an engine that answers each request with `length` tokens.
     pub async fn engine(length: u64) -> FakeEndpoint {
-        FakeEndpoint::start(move |seen| whole_answer(&seen.generate(), length)).await
+        FakeEndpoint::start(move |received| complete_answer(&received.generate_request(), length))
+            .await
     }
 
-    /// What the engine says of itself from now on.
+    /// Sets the role in the engine's answers to `/state`, which are 404 before.
     pub fn set_role(&self, role: EngineRole) {
         *self.status.lock().unwrap() = Some(EngineStatus {
             incarnation: 1,
@@ -140,37 +142,37 @@
         });
     }
 
-    /// Whether the process has ended.
-    pub fn is_gone(&self) -> bool {
-        self.alive.is_cancelled()
+    /// Whether the process has exited.
+    pub fn has_exited(&self) -> bool {
+        self.exited.is_cancelled()
     }
 
-    /// The process ends.
+    /// Ends the process, as [`Step::Crash`] does.
     pub fn crash(&self) {
-        self.alive.cancel();
+        self.exited.cancel();
     }
 
-    pub fn seen(&self, path: &str) -> Vec<SeenRequest> {
-        let seen = self.seen.lock().unwrap();
-        let matches = |request: &&SeenRequest| request.line.contains(path);
-        seen.iter().filter(matches).cloned().collect()
+    pub fn received(&self, path: &str) -> Vec<ReceivedRequest> {
+        let received = self.received.lock().unwrap();
+        let matches = |request: &&ReceivedRequest| request.line.contains(path);
+        received.iter().filter(matches).cloned().collect()
     }
 
     pub fn cancelled(&self) -> Vec<CancelRequest> {
-        let parse = |seen: SeenRequest| serde_json::from_str(&seen.body).unwrap();
-        self.seen("/cancel").into_iter().map(parse).collect()
+        let parse = |received: ReceivedRequest| serde_json::from_str(&received.body).unwrap();
+        self.received("/cancel").into_iter().map(parse).collect()
     }
 
     async fn accept(self, listener: TcpListener) {
         for connection in 0.. {
             let stream = tokio::select! {
-                () = self.alive.cancelled() => return,
+                () = self.exited.cancelled() => return,
                 accepted = listener.accept() => accepted.unwrap().0,
             };
             let endpoint = self.clone();
             tokio::spawn(async move {
                 tokio::select! {
-                    () = endpoint.alive.cancelled() => {}
+                    () = endpoint.exited.cancelled() => {}
                     () = endpoint.serve(stream, connection) => {}
                 }
             });
@@ -179,7 +181,7 @@
 
     async fn serve(&self, mut stream: TcpStream, connection: u64) {
         while let Some(request) = read_request(&mut stream, connection).await {
-            self.seen.lock().unwrap().push(request.clone());
+            self.received.lock().unwrap().push(request.clone());
             let short = |status: &str| plain_answer(status, "");
             let steps = match request.line.split(' ').nth(1).unwrap() {
                 "/health" | "/cancel" => short("204 No Content"),
@@ -190,15 +192,15 @@
                 "/load" => short("404 Not Found"),
                 _ => (self.script)(&request),
             };
-            if !self.play(&mut stream, steps).await {
+            if !self.run_steps(&mut stream, steps).await {
                 return;
             }
         }
     }
 
-    /// Plays the steps; answers whether the connection stays open.
-    async fn play(&self, stream: &mut TcpStream, steps: Vec<Step>) -> bool {
-        let mut keep = true;
+    /// Runs the steps; returns whether the connection stays open.
+    async fn run_steps(&self, stream: &mut TcpStream, steps: Vec<Step>) -> bool {
+        let mut keep_open = true;
         for step in steps {
             let text = match step {
                 Step::Write(text) => text,
@@ -207,22 +209,22 @@
                     self.gate.acquire().await.unwrap().forget();
                     continue;
                 }
-                Step::Silence => std::future::pending().await,
+                Step::Hang => std::future::pending().await,
                 Step::Crash => {
-                    self.alive.cancel();
+                    self.exited.cancel();
                     return false;
                 }
             };
-            keep &= text != OK_HEAD;
+            keep_open &= text != OK_HEAD;
             if stream.write_all(text.as_bytes()).await.is_err() {
                 return false;
             }
         }
-        keep
+        keep_open
     }
 }
 
-async fn read_request(stream: &mut TcpStream, connection: u64) -> Option<SeenRequest> {
+async fn read_request(stream: &mut TcpStream, connection: u64) -> Option<ReceivedRequest> {
     let mut bytes = Vec::new();
     let head_end = loop {
         if let Some(end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
@@ -239,7 +241,7 @@
     while bytes.len() < head_end + length {
         read_more(stream, &mut bytes).await?;
     }
-    Some(SeenRequest {
+    Some(ReceivedRequest {
         line: head.lines().next()?.to_string(),
         body: String::from_utf8_lossy(&bytes[head_end..]).to_string(),
         head,
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An entry with a fake platform and fake endpoints around it.
+//! Starts an entry against a fake platform and fake endpoints.
 #![allow(dead_code)]
 
 pub mod endpoint;
@@ -21,22 +21,22 @@
 use platform::FakePlatform;
 use tokio_util::sync::CancellationToken;
 
-/// The key that the tests' caller holds.
+/// The API key of the tests' caller.
 pub const KEY: &str = "blank-match-kiosk-7";
 
-/// How long a test waits for what must happen.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a test waits for an expected condition.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-const PATIENCE_SPAN: TimeSpan = TimeSpan::from_secs(20);
+const DEFAULT_PROGRESS_LIMIT: TimeSpan = TimeSpan::from_secs(20);
 
-/// An entry between fakes.
+/// An entry and its fake platform.
 pub struct TestBed {
     pub platform: FakePlatform,
     pub entry: RunningEntry,
     pub http: reqwest::Client,
 }
 
-/// Settings of the entry `name` with short spans.
+/// Settings of the entry `name`, with short intervals and timeouts.
 pub fn settings(platform: &FakePlatform, name: &str) -> EntrySettings {
     let text = format!(
         r#"
@@ -69,8 +69,8 @@
 }
 
 impl TestBed {
-    /// An entry that has read a chat service, a plain service, an organisation
-    /// and its key.
+    /// Starts an entry that has read the configuration of a chat service, a plain
+    /// service, an organisation and its key.
     pub async fn start() -> TestBed {
         TestBed::with_settings(|_| {}).await
     }
@@ -79,16 +79,16 @@
     where
         Change: FnOnce(&mut EntrySettings),
     {
-        TestBed::with_progress_limit(PATIENCE_SPAN, change).await
+        TestBed::with_progress_limit(DEFAULT_PROGRESS_LIMIT, change).await
     }
 
-    /// Engines may say nothing for `limit`.
+    /// Starts an entry whose services have `limit` as their progress limit.
     pub async fn with_progress_limit<Change>(limit: TimeSpan, change: Change) -> TestBed
     where
         Change: FnOnce(&mut EntrySettings),
     {
         let platform = FakePlatform::start().await;
-        platform.publish(&units(limit));
+        platform.publish(&test_configuration(limit));
         let mut settings = settings(&platform, "entry-1");
         change(&mut settings);
         let entry = start_entry(settings).await;
@@ -110,13 +110,13 @@
         format!("http://{}{path}", self.entry.http_address)
     }
 
-    /// Lists these endpoints and waits until the entry sends work there.
+    /// Lists these endpoints at the platform and waits until the entry routes to them.
     pub async fn list(&self, listings: Vec<EndpointListing>) {
         self.platform.list(listings.clone());
         wait_routed(&self.http, &self.entry, &listings).await;
     }
 
-    /// Waits until the entry's dump meets `test`.
+    /// Waits until the entry's dump satisfies `test`.
     pub async fn wait_dump<Test>(&self, test: Test)
     where
         Test: Fn(&serde_json::Value) -> bool,
@@ -129,7 +129,7 @@
         .await;
     }
 
-    /// Waits until the router knows of so many engines that don't mix.
+    /// Waits until the router has `count` engines whose role is not `mixed`.
     pub async fn wait_roles(&self, count: usize) {
         self.wait_dump(|dump| {
             let routes = dump["routes"].as_array().unwrap();
@@ -142,12 +142,12 @@
         .await;
     }
 
-    /// Waits until the entry's metrics have this line.
+    /// Waits until the entry's metrics contain this line.
     pub async fn wait_metric(&self, line: &str) {
         let url = self.url("/metrics");
         eventually(async || {
             let text = self.http.get(&url).send().await.unwrap().text().await;
-            text.unwrap().lines().any(|shown| shown == line)
+            text.unwrap().lines().any(|present| present == line)
         })
         .await;
     }
@@ -166,7 +166,7 @@
     eventually(async || http.get(&url).send().await.unwrap().status().is_success()).await;
 }
 
-/// Waits until the entry sends work to these endpoints.
+/// Waits until the entry routes to these endpoints.
 pub async fn wait_routed(
     http: &reqwest::Client,
     entry: &RunningEntry,
@@ -179,12 +179,12 @@
         let routed = dump["routes"].as_array().unwrap();
         let pools = dump["pools"].as_array().unwrap();
         let serving = pools.iter().any(|pool| pool["slots"] != 0);
-        let known = |listing: &EndpointListing| {
+        let is_routed = |listing: &EndpointListing| {
             routed
                 .iter()
                 .any(|routed| routed["endpoint"] == listing.endpoint.as_str())
         };
-        serving && listings.iter().all(known)
+        serving && listings.iter().all(is_routed)
     })
     .await;
 }
@@ -216,7 +216,7 @@
     http.request(method, url).bearer_auth(KEY)
 }
 
-/// Waits until `test` holds; fails after [`PATIENCE`].
+/// Waits until `test` holds; fails after [`TEST_TIMEOUT`].
 pub async fn eventually<Test>(mut test: Test)
 where
     Test: AsyncFnMut() -> bool,
@@ -226,9 +226,9 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait)
+    tokio::time::timeout(TEST_TIMEOUT, wait)
         .await
-        .expect("what must happen did not");
+        .expect("the expected condition did not hold within TEST_TIMEOUT");
 }
 
 fn change(kind: UnitKind, name: &str, body: UnitBody) -> UnitChange {
@@ -257,8 +257,8 @@
     })
 }
 
-/// The configuration of the tests.
-pub fn units(limit: TimeSpan) -> LogRecord {
+/// The configuration of the tests, with `limit` as the services' progress limit.
+pub fn test_configuration(limit: TimeSpan) -> LogRecord {
     let model = ModelName::new("m1").unwrap();
     let target = ServiceTarget::Model {
         model,
--- a/crates/entry/tests/support/platform.rs
+++ b/crates/entry/tests/support/platform.rs
@@ -1,5 +1,5 @@
-//! A fake platform: a log in memory that can be down or lose answers, and the list
-//! of endpoints.
+//! A fake platform: an in-memory log that can be unavailable or lose its answers to
+//! appends, and the lists of endpoints and instances.
 
 use std::{
     collections::BTreeMap,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Appends a record as an operator would.
+    /// Appends a record under an operator's writer id.
     pub fn publish(&self, record: &LogRecord) {
         let mut inner = self.inner.lock().unwrap();
         let sequence = inner.entries.len() as u64 + 1;
@@ -78,23 +78,23 @@
         self.inner.lock().unwrap().reads_down = down;
     }
 
-    /// Appends take effect, but nobody hears of it.
+    /// Makes appends take effect and answer with an error.
     pub fn set_lose_answers(&self, lose: bool) {
         self.inner.lock().unwrap().lose_answers = lose;
     }
 
-    /// Appends wait until they are let go.
+    /// Delays appends until this is set to false.
     pub fn set_hold_appends(&self, hold: bool) {
         self.inner.lock().unwrap().hold_appends = hold;
     }
 
-    /// How many appends were refused.
-    pub fn refused(&self) -> u64 {
+    /// Number of appends that were refused.
+    pub fn refused_appends(&self) -> u64 {
         self.inner.lock().unwrap().refused
     }
 
-    /// How many appends had to wait.
-    pub fn held(&self) -> u64 {
+    /// Number of appends that were delayed.
+    pub fn held_appends(&self) -> u64 {
         self.inner.lock().unwrap().held
     }
 
