--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -236,14 +236,14 @@
         Err(refused.with_retry_after(refusal.retry_after))
     }
 
-    /// Whether the log, as far as it has been read, marks the endpoint as leaving;
+    /// Whether the log, as far as it has been read, has a drain mark for the endpoint;
     /// such an endpoint receives no new work.
     pub fn is_leaving(&self, endpoint: &EndpointId) -> bool {
         self.node.with_view(|view| view.marks.is_leaving(endpoint))
     }
 
-    /// Chooses an endpoint for an attempt. The router receives marks shortly after
-    /// they were read from the log, so a choice that a mark has invalidated meanwhile
+    /// Chooses an endpoint for an attempt. The router receives drain marks shortly
+    /// after they were read from the log, so a choice that a mark has invalidated meanwhile
     /// is repeated once.
     ///
     /// # Errors
--- a/crates/entry/src/traffic.rs
+++ b/crates/entry/src/traffic.rs
@@ -2,7 +2,7 @@
 //!
 //! The decisions are made by modules of `bluebell-core`; this module holds their
 //! state and sends their answers to the waiting runs, and `traffic_feed` supplies
-//! their inputs (endpoint list, marks, load reports, peers). Dropping a ticket
+//! their inputs (endpoint list, drain marks, load reports, peers). Dropping a ticket
 //! releases what it reserved, so nothing stays reserved however a run ends.
 
 use std::{
@@ -47,7 +47,7 @@
     budget: RetryBudget,
     demand: DemandEstimator,
     waiting: BTreeMap<RequestId, oneshot::Sender<AdmissionAnswer>>,
-    /// The cost served by this entry since its start, as reported to its peers.
+    /// The cost served by this entry since its start, for the report to its peers.
     pub served: BTreeMap<OrganisationId, u64>,
 }
 
--- a/crates/entry/src/traffic_feed.rs
+++ b/crates/entry/src/traffic_feed.rs
@@ -1,5 +1,5 @@
-//! Supplies the traffic state with its inputs: endpoints, marks, load reports and the
-//! status of peers.
+//! Supplies the traffic state with its inputs: endpoints, drain marks, load reports and
+//! the status of peers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -51,7 +51,7 @@
         tokio::select! {
             () = token.cancelled() => return,
             _ = tick.tick() => {}
-            // A mark is applied at once: a leaving endpoint receives no new work.
+            // A drain mark is applied at once: a leaving endpoint receives no new work.
             event = events.recv() => match event {
                 Ok(ViewEvent::Marked { .. }) | Err(RecvError::Lagged(_)) => {}
                 Ok(_) => continue,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Updates the router's endpoints from the platform's list and the marks in the log.
+/// Updates the router's endpoints from the platform's list and the drain marks.
 pub fn sync_endpoints(context: &EntryContext) {
     let listed_endpoints = context.directory.endpoints();
     let leaving: BTreeSet<_> = context.node.with_view(|view| {
