--- a/crates/core/src/leadership/mod.rs
+++ b/crates/core/src/leadership/mod.rs
@@ -1,6 +1,6 @@
 //! Leader election by conditional appends to a topic of the store.
 //!
-//! Usage reports, endpoint orders and engine orders are one process's job at a
+//! Usage reports, endpoint orders and engine orders are made by one process at a
 //! time. The *leader* is the process that appended last to a topic of the store, and the
 //! offset of that record is its fencing number: it rises with each record, and no
 //! two processes have the same. Before each action the leader appends a record,
@@ -149,10 +149,10 @@
 
     /// How much longer this process waits before it takes over.
     pub fn takeover_wait(&self, now: ClockTime) -> TimeSpan {
-        let silence = self.last.as_ref().map(|last| now.since(last.read_at));
+        let elapsed = self.last.as_ref().map(|last| now.since(last.read_at));
         let slack = TimeSpan::from_millis(10);
-        silence.map_or(TimeSpan::ZERO, |silence| {
-            self.takeover_timeout().saturating_sub(silence) + slack
+        elapsed.map_or(TimeSpan::ZERO, |elapsed| {
+            self.takeover_timeout().saturating_sub(elapsed) + slack
         })
     }
 
--- a/crates/core/src/provision/demand.rs
+++ b/crates/core/src/provision/demand.rs
@@ -307,10 +307,10 @@
 }
 
 impl SmoothedEstimate {
-    /// Creates an estimate that starts with `guess`.
-    pub fn new(now: ClockTime, guess: f64) -> SmoothedEstimate {
+    /// Creates an estimate that starts with `initial`.
+    pub fn new(now: ClockTime, initial: f64) -> SmoothedEstimate {
         SmoothedEstimate {
-            value: guess,
+            value: initial,
             since: now,
             at: now,
         }
--- a/crates/core/src/quarantine/trials.rs
+++ b/crates/core/src/quarantine/trials.rs
@@ -88,13 +88,13 @@
         if self.running.values().any(|running| running == fingerprint) {
             return TrialChoice::Wait;
         }
-        let own_index = entries.iter().position(|entry| *entry == self.instance);
-        let is_assigned = |index: usize| match own_index {
+        let local_index = entries.iter().position(|entry| *entry == self.instance);
+        let is_assigned = |index: usize| match local_index {
             None => true,
-            Some(own_index) if endpoints.len() < entries.len() => {
-                own_index % endpoints.len() == index
+            Some(local_index) if endpoints.len() < entries.len() => {
+                local_index % endpoints.len() == index
             }
-            Some(own_index) => index % entries.len() == own_index,
+            Some(local_index) => index % entries.len() == local_index,
         };
         let free = endpoints.iter().enumerate().filter(|(index, endpoint)| {
             is_assigned(*index) && !self.running.contains_key(*endpoint)
--- a/crates/ingress/src/leader/records.rs
+++ b/crates/ingress/src/leader/records.rs
@@ -81,16 +81,16 @@
 }
 
 impl BaseMessage {
-    /// Encodes a base.
-    pub fn new(base: &DomainBaseline) -> BaseMessage {
+    /// Encodes a baseline.
+    pub fn new(baseline: &DomainBaseline) -> BaseMessage {
         BaseMessage {
-            service: base.service.to_string(),
-            domain: base.domain.to_string(),
-            endpoints: base.endpoints,
+            service: baseline.service.to_string(),
+            domain: baseline.domain.to_string(),
+            endpoints: baseline.endpoints,
         }
     }
 
-    /// Decodes the base; `None` if one of its names is invalid.
+    /// Decodes the baseline; `None` if one of its names is invalid.
     pub fn base(&self) -> Option<DomainBaseline> {
         Some(DomainBaseline {
             service: ServiceName::new(self.service.as_str()).ok()?,
--- a/crates/ingress/src/leader/task.rs
+++ b/crates/ingress/src/leader/task.rs
@@ -209,8 +209,8 @@
         if record.reported > 0 {
             self.note_reported(UsageWindow::new(record.reported));
         }
-        for base in record.bases.iter().filter_map(BaseMessage::base) {
-            self.planner.set_baseline(base);
+        for baseline in record.bases.iter().filter_map(BaseMessage::base) {
+            self.planner.set_baseline(baseline);
         }
         self.leadership
             .note_record(self.context.now(), offset, writer);
--- a/crates/ingress/src/peers/relay.rs
+++ b/crates/ingress/src/peers/relay.rs
@@ -134,13 +134,13 @@
     if relay.version > relayed.configuration.version() {
         log_advertised_version(context, peer, relay.version);
     }
-    let advert = VersionAdvertisement {
+    let advertisement = VersionAdvertisement {
         version: relay.version,
         known_at: keys_known_at,
         next: LogOffset::new(relay.configuration_next),
         copy: CopyMessage::state(relay.copy.as_ref()),
     };
-    if relayed.configuration.note_advertisement(now, advert) {
+    if relayed.configuration.note_advertisement(now, advertisement) {
         context.wake.notify_waiters();
     }
     if relayed.difference.compare(now, digest, relay.digest) {
--- a/crates/ingress/src/ready.rs
+++ b/crates/ingress/src/ready.rs
@@ -58,8 +58,8 @@
 pub fn dump(context: &EntryContext) -> serde_json::Value {
     let now = context.now();
     let (version, age) = {
-        let belief = context.configuration.lock();
-        (belief.version(), belief.age(now))
+        let configuration = context.configuration.lock();
+        (configuration.version(), configuration.age(now))
     };
     let endpoints: Vec<_> = context.directory.lock().iter().cloned().collect();
     json!({
