--- a/crates/core/src/admission/pool.rs
+++ b/crates/core/src/admission/pool.rs
@@ -247,7 +247,7 @@
     /// Takes the next request that may start: one of the organisation that was served
     /// least, interactive before deferrable. Deferrable work starts first only if its
     /// organisation is behind by the handicap, as a flood of interactive work of
-    /// another organisation would otherwise keep it waiting for good.
+    /// another organisation would otherwise keep it waiting indefinitely.
     pub fn pop(&mut self, settings: &AdmissionSettings) -> Option<StartedWork> {
         let slots = u64::from(self.capacity.slots);
         let running = u64::from(self.running);
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -291,7 +291,7 @@
         self.requests.insert(admission.request.clone(), tracked);
     }
 
-    /// Removes a queued request for good.
+    /// Removes a queued request permanently.
     fn dequeue(&mut self, request: &RequestId) -> Option<TrackedRequest> {
         let tracked = self.requests.get(request)?;
         let position = tracked.position?;
--- a/crates/core/src/claims/mod.rs
+++ b/crates/core/src/claims/mod.rs
@@ -1,7 +1,7 @@
 //! Idempotency keys: only the request with the first claim in the log is sent to
 //! an endpoint.
 //!
-//! A caller that gets no answer to a charge sends it again, to another entry and
+//! A caller that receives no answer to a charge sends it again, to another entry and
 //! perhaps at the same time. If both entries forwarded it, the customer would pay
 //! twice. So an entry first appends a claim of the caller's idempotency key, and
 //! forwards the request only if it reads its own claim back as the active one. All
--- a/crates/core/src/draining/mod.rs
+++ b/crates/core/src/draining/mod.rs
@@ -1,4 +1,4 @@
-//! Drain marks: endpoints that are about to leave and get no new requests.
+//! Drain marks: endpoints that are about to leave and receive no new requests.
 //!
 //! A mark is valid only under the current fencing number of the duty that sets it,
 //! and no other duty can change it while it is in force. So the `fleet` duty never
@@ -47,7 +47,7 @@
         self.marks.get(endpoint)
     }
 
-    /// Whether the endpoint is draining and gets no new requests.
+    /// Whether the endpoint is draining and receives no new requests.
     pub fn is_draining(&self, endpoint: &EndpointId) -> bool {
         self.marks.contains_key(endpoint)
     }
--- a/crates/core/src/orders/run.rs
+++ b/crates/core/src/orders/run.rs
@@ -73,7 +73,7 @@
     Refused,
     /// The receiver can't accept the order now; it has no effect.
     Unavailable,
-    /// It is unknown whether the receiver got the order.
+    /// It is unknown whether the order reached the receiver.
     Unknown,
 }
 
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -36,7 +36,7 @@
 pub const MAX_FINGERPRINTS: usize = 1_024;
 
 /// Number of log records after its last crash for which a fingerprint is kept. Engines
-/// are replaced and repaired, so a quarantine does not last for good.
+/// are replaced and repaired, so a quarantine is not permanent.
 pub const RETENTION_RECORDS: u64 = 100_000;
 
 /// Whether a request is suspected of crashing endpoints.
--- a/crates/core/src/records/drain_marks.rs
+++ b/crates/core/src/records/drain_marks.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MarkState {
-    /// The endpoint gets no new requests: a role change, replacement or stop follows.
+    /// The endpoint receives no new requests: a role change, replacement or stop follows.
     Leaving,
-    /// The endpoint gets requests again.
+    /// The endpoint receives requests again.
     Staying,
 }
 
--- a/crates/core/src/routing/messages.rs
+++ b/crates/core/src/routing/messages.rs
@@ -172,7 +172,7 @@
     /// The pool has no endpoint that is ready and stays.
     #[error("no endpoint of `{0}` is ready")]
     NoEndpoint(RoutePool),
-    /// All ready endpoints run on preemptible capacity or were tried already.
+    /// All ready endpoints run on preemptible capacity or were attempted already.
     #[error("none of the {ready} ready endpoints of `{pool}` may run this work")]
     NoneAllowed {
         /// The pool.
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! Every instance runs one process, which accepts requests of callers ([`frontend`]),
 //! forwards them to endpoints ([`forward`]), follows the configuration and the endpoints
-//! in the store ([`believe`]), exchanges messages with the other instances ([`peers`])
-//! and, while it is the leader, reports usage and orders endpoints ([`steward`]). The
-//! decision logic is in `bluebell-core`; names and formats of the platform are in
+//! in the store ([`sync`]) and exchanges messages with the other instances ([`peers`]).
+//! The instance that is the leader also reports usage and orders endpoints ([`leader`]).
+//! The decision logic is in `bluebell-core`; names and formats of the platform are in
 //! `bluebell-adapter`.
 
 mod compression;
--- a/crates/ingress/src/sync/configuration.rs
+++ b/crates/ingress/src/sync/configuration.rs
@@ -120,8 +120,8 @@
     }
 }
 
-/// The offset to read from once the reader's adverts have ended. A large configuration
-/// that is in force here need not be fetched again.
+/// The offset to read from once the reader's advertisements have ended. A large
+/// configuration that is in force here need not be fetched again.
 fn advertised_end(context: &EntryContext) -> Option<LogOffset> {
     let version = context.configuration.lock().version();
     let advertised = context.relayed.lock().configuration;
