--- a/crates/node/src/announce.rs
+++ b/crates/node/src/announce.rs
@@ -1,8 +1,9 @@
-//! Telling the platform's list that this process runs, and reading the list.
+//! Announces this process on the platform's instance list and polls the list.
 //!
-//! The list lags and forgets who has stopped telling it, so the announcement is
-//! repeated every second. A process that shuts down says so at once, so that
-//! callers' balancers and peers stop sending it work before it is gone.
+//! The list is updated with a delay and drops instances that no longer announce
+//! themselves, so the announcement is repeated every second. A process that shuts
+//! down announces it at once, so that load balancers and peers stop sending it
+//! work before it exits.
 
 use bluebell_core::{
     clock::TimeSpan,
@@ -14,18 +15,18 @@
 use crate::handle::NodeHandle;
 
 /// The time between two announcements.
-pub const ANNOUNCE_EVERY: TimeSpan = TimeSpan::from_secs(1);
+pub const ANNOUNCE_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
-/// The time between two reads of the list, per instance on it. The list's size
-/// grows with the fleet: read every second it would cost 350 instances tens of
-/// kilobytes a second each. Peers tell of new instances sooner.
-const LIST_PAUSE: TimeSpan = TimeSpan::from_millis(100);
+/// The time between two reads of the list, per instance on it. The list grows
+/// with the fleet: at one read a second, each of 350 instances would receive tens
+/// of kilobytes a second. New instances are learned sooner from peers.
+const LIST_INTERVAL_PER_INSTANCE: TimeSpan = TimeSpan::from_millis(100);
 
-/// The longest time between two reads of the list.
-const LIST_LIMIT: TimeSpan = TimeSpan::from_secs(30);
+/// The maximum time between two reads of the list.
+const MAX_LIST_INTERVAL: TimeSpan = TimeSpan::from_secs(30);
 
-/// Announces `listing` and reads the list until `token` is cancelled, then
-/// announces that this process leaves.
+/// Announces `listing` and polls the list until `token` is cancelled, then
+/// announces that this process is leaving.
 pub async fn run(node: NodeHandle, listing: InstanceListing, token: CancellationToken) {
     let mut next_read = node.clock().now();
     loop {
@@ -38,7 +39,7 @@
         tokio::select! {
             () = token.cancelled() => break,
             () = node.local_changed(state) => {}
-            () = tokio::time::sleep(ANNOUNCE_EVERY.as_duration()) => {}
+            () = tokio::time::sleep(ANNOUNCE_INTERVAL.as_duration()) => {}
         }
     }
     announce(&node, &listing, InstanceState::Leaving).await;
@@ -52,12 +53,14 @@
     }
 }
 
-/// Reads the list; answers when to read it again.
+/// Reads the list; returns the delay until the next read.
 async fn read_list(node: &NodeHandle) -> TimeSpan {
     match node.platform().instances().await {
         Ok(listings) => {
             node.note_listings(&listings);
-            LIST_PAUSE.times(listings.len() as u64).min(LIST_LIMIT)
+            LIST_INTERVAL_PER_INSTANCE
+                .times(listings.len() as u64)
+                .min(MAX_LIST_INTERVAL)
         }
         Err(error) => {
             LogLine::new("instance_list_failed")
--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -1,4 +1,4 @@
-//! Joining the other instances, and what is known of them.
+//! Joins the other instances and reports their status.
 
 use std::net::SocketAddr;
 
@@ -15,14 +15,18 @@
 use crate::{
     admin::NodeReport,
     announce,
-    handle::{NodeHandle, hold},
+    handle::{NodeHandle, lock},
     peers, withdraw,
 };
 
 impl NodeHandle {
-    /// Joins the other instances: takes peer connections, appears on the
-    /// platform's list as a `program` that answers HTTP at `http_address`, and
-    /// does both until `token` is cancelled. Answers the address for peers.
+    /// Joins the other instances: accepts peer connections and announces a
+    /// `program` that serves HTTP at `http_address` on the platform's list, both
+    /// until `token` is cancelled. Returns the address bound for peer connections.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the peer address of the settings can't be bound.
     pub async fn join(
         &self,
         program: InstanceProgram,
@@ -43,19 +47,20 @@
         let node = self.clone();
         tokio::spawn(peers::accept(node, listener, token.child_token()));
         let node = self.clone();
-        tokio::spawn(peers::keep(node, listing.clone(), token.child_token()));
+        tokio::spawn(peers::maintain(node, listing.clone(), token.child_token()));
         tokio::spawn(withdraw::run(self.clone(), token.child_token()));
         tokio::spawn(announce::run(self.clone(), listing, token.child_token()));
         Ok(peer_address)
     }
 
-    /// Sets what this process tells its peers of its work. Setting the state to
-    /// leaving is told at once, to peers and to the platform's list.
+    /// Sets the load and state that this process reports to its peers. A change of
+    /// the state, such as to leaving, is sent at once to peers and to the
+    /// platform's list.
     pub fn set_local(&self, status: LocalStatus) {
         self.state.local.send_replace(status);
     }
 
-    /// What this process tells its peers of its work.
+    /// The load and state that this process reports to its peers.
     pub fn local(&self) -> LocalStatus {
         self.state.local.borrow().clone()
     }
@@ -64,21 +69,21 @@
         self.state.local.borrow().state
     }
 
-    /// Waits until this process's own state is no longer `before`.
+    /// Waits until the state of this process differs from `before`.
     pub(crate) async fn local_changed(&self, before: InstanceState) {
         let mut local = self.state.local.subscribe();
         let changed = local.wait_for(|status| status.state != before).await;
         drop(changed);
     }
 
-    /// What is known of every other instance, by instance.
+    /// The last known status of every other instance, ordered by instance id.
     pub fn peers(&self) -> Vec<PeerStatus> {
         let now = self.state.clock.now();
         self.members().peers(now)
     }
 
     pub(crate) fn members(&self) -> std::sync::MutexGuard<'_, MemberTable> {
-        hold(&self.state.members)
+        lock(&self.state.members)
     }
 
     pub(crate) fn note_listings(&self, listings: &[InstanceListing]) {
@@ -86,8 +91,8 @@
         self.members().update_listings(now, listings);
     }
 
-    /// Puts this process's own state into what heartbeats carry.
-    pub(crate) fn refresh_own(&self, listing: &InstanceListing) {
+    /// Updates the presence, progress and load of this process that heartbeats carry.
+    pub(crate) fn refresh_local_presence(&self, listing: &InstanceListing) {
         let local = self.local();
         let presence = MemberPresence {
             failure_domain: listing.failure_domain.clone(),
@@ -100,12 +105,13 @@
         self.members().set_local(presence, next, &local);
     }
 
-    /// Makes the plan of connections anew. Readers are chosen among instances
-    /// that are live; connections are also kept to suspected ones, or a cut
-    /// path that heals would never be noticed.
-    pub(crate) fn replan(&self) -> Vec<InstanceListing> {
+    /// Recomputes the plan of connections and returns the listings of the planned
+    /// neighbours. Readers are chosen among live instances that are not suspected.
+    /// Connections to other instances are kept, too: otherwise the end of a
+    /// network partition would never be noticed.
+    pub(crate) fn update_link_plan(&self) -> Vec<InstanceListing> {
         let now = self.state.clock.now();
-        let own = PlanMember {
+        let local_member = PlanMember {
             failure_domain: self.state.settings.failure_domain.clone(),
             instance: self.state.settings.instance.clone(),
         };
@@ -121,12 +127,13 @@
             .map(member)
             .collect();
         let all: Vec<PlanMember> = listings.iter().map(member).collect();
-        let mut plan = LinkPlan::new(&own, &live);
-        plan.neighbours.extend(LinkPlan::new(&own, &all).neighbours);
+        let mut plan = LinkPlan::new(&local_member, &live);
+        plan.neighbours
+            .extend(LinkPlan::new(&local_member, &all).neighbours);
         let expected: Vec<InstanceId> = plan.neighbours.iter().cloned().collect();
         members.set_expected_links(now, &expected);
         drop(members);
-        let wanted = listings
+        let targets = listings
             .into_iter()
             .filter(|listing| plan.neighbours.contains(&listing.instance))
             .collect();
@@ -135,16 +142,16 @@
             *current = plan;
             changed
         });
-        wanted
+        targets
     }
 
-    /// The number of the connection to `peer` that stands; a later one has a
-    /// greater number.
+    /// The number of the current connection to `peer`; later connections have
+    /// greater numbers.
     pub fn link_number(&self, peer: &InstanceId) -> Option<u64> {
-        hold(&self.state.links).link(peer).map(|link| link.number)
+        lock(&self.state.links).link(peer).map(|link| link.number)
     }
 
-    /// What this node tells operators of itself.
+    /// The status report of this node for operators.
     pub fn report(&self) -> NodeReport {
         let progress = self.progress();
         NodeReport {
@@ -156,7 +163,7 @@
             obstacle: self.obstacle(),
             freshness: self.freshness(),
             reads_log: self.state.plan.borrow().is_reader,
-            links: hold(&self.state.links)
+            links: lock(&self.state.links)
                 .links()
                 .map(|(peer, _)| peer.clone())
                 .collect(),
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -1,10 +1,11 @@
-//! One connection to a peer, from its first frame to its end.
+//! One connection to a peer, from the handshake until it closes.
 //!
-//! A connection can go silent for good while new ones would work: something
-//! between the two ends has lost track of it, and TCP alone notices after
-//! minutes. Whoever hears nothing for [`HEARTBEAT_TIMEOUT`] drops it, and the
-//! plan opens a new one. Sending is bounded in the same way, since the buffers
-//! of a connection that nobody reads fill up.
+//! A connection can stop carrying data while new ones would work, for example when
+//! a device on the path drops its state; TCP alone detects this after minutes.
+//! Either side closes a connection on which it receives nothing for
+//! [`HEARTBEAT_TIMEOUT`], and a new one is opened as planned. Sending has the same
+//! time-out, because the buffers of a connection fill up when the peer stops
+//! reading.
 
 use std::sync::atomic::Ordering;
 
@@ -24,37 +25,38 @@
 };
 
 use crate::{
-    handle::{NodeHandle, hold},
+    handle::{NodeHandle, lock},
     peers::wire::{FRAME_LIMIT, HelloMessage, PeerBody, PeerFrame},
 };
 
 /// The time between two heartbeats.
-pub const HEARTBEAT_EVERY: TimeSpan = TimeSpan::from_secs(1);
+pub const HEARTBEAT_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
-/// How many frames may wait to be sent.
+/// Maximum number of frames queued for sending.
 const FRAME_BACKLOG: usize = 256;
 
-/// Bytes of a frame's length.
+/// Size of the length prefix of a frame, in bytes.
 const LENGTH_BYTES: u64 = 4;
 
 /// Why a connection ended.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// The network reports an error.
+    /// Reading from or writing to the socket failed.
     #[error("the connection failed: {0}")]
     Io(#[from] std::io::Error),
-    /// The other side closed it.
+    /// The peer closed the connection.
     #[error("the peer closed the connection")]
     Closed,
-    /// Nothing came, or nothing could be sent, for too long.
-    #[error("the connection went silent")]
-    Silent,
-    /// A frame can't be read.
-    #[error("the peer sent a frame that can't be read: {0}")]
+    /// Nothing was received, or a frame could not be sent, for [`HEARTBEAT_TIMEOUT`].
+    #[error("the connection timed out: no frame was received or sent within {HEARTBEAT_TIMEOUT}")]
+    TimedOut,
+    /// A frame is invalid or not allowed in the current state.
+    #[error("the peer sent an invalid frame: {0}")]
     Frame(String),
-    /// This process is stopping, or a newer connection took this one's place.
-    #[error("the connection is no longer wanted")]
-    Unwanted,
+    /// This process is stopping, a newer connection has replaced this one, the plan
+    /// no longer includes it, or its queue of frames was full.
+    #[error("the connection was closed by this instance")]
+    Cancelled,
 }
 
 /// One connection to a peer.
@@ -64,18 +66,19 @@
     framed: Framed<TcpStream, LengthDelimitedCodec>,
     /// The last stamp that the peer sent, to echo.
     pub(crate) echo: Option<u64>,
-    /// How many bytes of news the peer takes in a second.
-    pub(crate) peer_share: usize,
-    /// How many bytes of news may be sent with the next heartbeat.
+    /// How many bytes of gossip updates the peer accepts per second.
+    pub(crate) peer_budget: usize,
+    /// How many bytes of gossip updates may be sent with the next heartbeat.
     pub(crate) credit: usize,
-    /// From which offset on the peer wants entries.
+    /// The offset from which the peer has requested entries; none if no request is
+    /// open.
     pub(crate) pull: Option<LogOffset>,
-    /// Parts of the state that was asked for.
+    /// The parts received so far of a requested snapshot.
     pub(crate) snapshot: bluebell_core::checkpoint::CheckpointReader,
-    heard_at: ClockTime,
+    last_seen: ClockTime,
 }
 
-/// Serves a connection until it ends.
+/// Performs the handshake and serves the connection until it ends.
 pub(crate) async fn run(
     node: NodeHandle,
     stream: TcpStream,
@@ -87,7 +90,7 @@
         .max_frame_length(FRAME_LIMIT)
         .new_codec();
     let mut framed = Framed::new(stream, codec);
-    let peer = match greet(&node, &mut framed).await {
+    let peer = match handshake(&node, &mut framed).await {
         Ok(peer) => peer,
         Err(error) => {
             LogLine::new("peer_greeting_failed")
@@ -97,29 +100,29 @@
         }
     };
     let (sender, frames) = mpsc::channel(FRAME_BACKLOG);
-    let number = hold(&node.state.links).open(&peer, dialled, sender, token.clone());
+    let number = lock(&node.state.links).open(&peer, dialled, sender, token.clone());
     node.members().reset_link(&peer);
     let mut connection = PeerConnection {
-        heard_at: node.clock().now(),
+        last_seen: node.clock().now(),
         node: node.clone(),
         peer: peer.clone(),
         framed,
         echo: None,
-        peer_share: usize::MAX,
+        peer_budget: usize::MAX,
         credit: 0,
         pull: None,
         snapshot: bluebell_core::checkpoint::CheckpointReader::with_items(),
     };
     LogLine::new("peer_connected").with("peer", &peer).debug();
     let error = match connection.serve(frames, token).await {
-        Ok(()) => LinkError::Unwanted,
+        Ok(()) => LinkError::Cancelled,
         Err(error) => error,
     };
     LogLine::new("peer_disconnected")
         .with("peer", &peer)
         .with("reason", &error)
         .debug();
-    let last = hold(&node.state.links).close(&peer, number);
+    let last = lock(&node.state.links).close(&peer, number);
     let planned = node.state.plan.borrow().neighbours.contains(&peer);
     if last && !planned {
         let now = node.clock().now();
@@ -127,7 +130,7 @@
     }
 }
 
-async fn greet(
+async fn handshake(
     node: &NodeHandle,
     framed: &mut Framed<TcpStream, LengthDelimitedCodec>,
 ) -> Result<InstanceId, LinkError> {
@@ -137,7 +140,7 @@
         })),
     };
     let timeout = HEARTBEAT_TIMEOUT.as_duration();
-    let greeting = async {
+    let exchange = async {
         framed.send(Bytes::from(hello.encode_to_vec())).await?;
         let frame = framed.next().await.ok_or(LinkError::Closed)??;
         match decode(&frame)? {
@@ -145,14 +148,18 @@
                 .instance
                 .parse::<InstanceId>()
                 .map_err(|error| LinkError::Frame(error.to_string())),
-            _ => Err(LinkError::Frame("the first is no greeting".to_string())),
+            _ => Err(LinkError::Frame(
+                "the first frame is not a hello message".to_string(),
+            )),
         }
     };
-    let peer = tokio::time::timeout(timeout, greeting)
+    let peer = tokio::time::timeout(timeout, exchange)
         .await
-        .map_err(|_| LinkError::Silent)??;
+        .map_err(|_| LinkError::TimedOut)??;
     if peer == node.settings().instance {
-        return Err(LinkError::Frame(format!("`{peer}` is our own name")));
+        return Err(LinkError::Frame(format!(
+            "the peer's instance id `{peer}` is the id of this instance"
+        )));
     }
     Ok(peer)
 }
@@ -161,7 +168,7 @@
     let frame = PeerFrame::decode(frame).map_err(|error| LinkError::Frame(error.to_string()))?;
     frame
         .body
-        .ok_or_else(|| LinkError::Frame("a frame of an unknown kind".to_string()))
+        .ok_or_else(|| LinkError::Frame("the frame has no body of a known kind".to_string()))
 }
 
 impl PeerConnection {
@@ -170,12 +177,12 @@
         mut frames: mpsc::Receiver<PeerBody>,
         token: CancellationToken,
     ) -> Result<(), LinkError> {
-        let mut beat = tokio::time::interval(HEARTBEAT_EVERY.as_duration());
-        beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut heartbeat_timer = tokio::time::interval(HEARTBEAT_INTERVAL.as_duration());
+        heartbeat_timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut progress = self.node.state.progress.subscribe();
-        let mut beats = self.node.state.beats.subscribe();
-        for note in self.node.notes_for_new_peer() {
-            self.send(PeerBody::Note(note)).await?;
+        let mut heartbeat_requests = self.node.state.heartbeat_requests.subscribe();
+        for record in self.node.urgent_records_for_new_peer() {
+            self.send(PeerBody::UrgentRecord(record)).await?;
         }
         loop {
             tokio::select! {
@@ -183,31 +190,31 @@
                 frame = self.framed.next() => {
                     let frame = frame.ok_or(LinkError::Closed)??;
                     self.note_received(frame.len());
-                    self.take(decode(&frame)?).await?;
+                    self.handle_frame(decode(&frame)?).await?;
                 }
                 body = frames.recv() => {
-                    self.send(body.ok_or(LinkError::Unwanted)?).await?;
+                    self.send(body.ok_or(LinkError::Cancelled)?).await?;
                 }
-                _ = beat.tick() => {
-                    self.check_silence()?;
+                _ = heartbeat_timer.tick() => {
+                    self.check_timeout()?;
                     self.send_heartbeat().await?;
                 }
-                _ = beats.changed() => self.send_heartbeat().await?,
+                _ = heartbeat_requests.changed() => self.send_heartbeat().await?,
                 _ = progress.changed() => self.answer_pull().await?,
             }
         }
     }
 
-    fn check_silence(&self) -> Result<(), LinkError> {
-        let silence = self.node.clock().now().since(self.heard_at);
-        match silence > HEARTBEAT_TIMEOUT {
-            true => Err(LinkError::Silent),
+    fn check_timeout(&self) -> Result<(), LinkError> {
+        let idle_time = self.node.clock().now().since(self.last_seen);
+        match idle_time > HEARTBEAT_TIMEOUT {
+            true => Err(LinkError::TimedOut),
             false => Ok(()),
         }
     }
 
     fn note_received(&mut self, bytes: usize) {
-        self.heard_at = self.node.clock().now();
+        self.last_seen = self.node.clock().now();
         self.count(bytes);
     }
 
@@ -216,14 +223,14 @@
         counter.fetch_add(bytes as u64 + LENGTH_BYTES, Ordering::Relaxed);
     }
 
-    /// Sends a frame, for at most as long as a heartbeat may take.
+    /// Sends a frame; fails if that takes longer than [`HEARTBEAT_TIMEOUT`].
     pub(crate) async fn send(&mut self, body: PeerBody) -> Result<(), LinkError> {
         let frame: Bytes = PeerFrame { body: Some(body) }.encode_to_vec().into();
         self.count(frame.len());
         let timeout = HEARTBEAT_TIMEOUT.as_duration();
         tokio::time::timeout(timeout, self.framed.send(frame))
             .await
-            .map_err(|_| LinkError::Silent)??;
+            .map_err(|_| LinkError::TimedOut)??;
         Ok(())
     }
 }
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A platform stand-in and nodes on loopback.
+//! A stand-in of the platform and nodes, on loopback.
 
 #![allow(dead_code)]
 
@@ -19,9 +19,9 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// How long a test waits for an event before it fails. No verdict depends on
-/// how much of it passes.
-pub const PATIENCE: TimeSpan = TimeSpan::from_secs(60);
+/// How long a test waits for a condition before it fails. Only the failure of a
+/// test depends on this time.
+pub const WAIT_TIMEOUT: TimeSpan = TimeSpan::from_secs(60);
 
 pub struct TestPlatform {
     pub running: RunningPlatform,
@@ -49,7 +49,7 @@
         let answer = self.http.post(url).json(&faults).send().await;
         answer
             .and_then(|answer| answer.error_for_status())
-            .expect("the stand-in takes faults");
+            .expect("the stand-in accepts the faults");
     }
 
     pub async fn log_down(&self) {
@@ -126,7 +126,7 @@
             changes: vec![change],
         });
         let offset = self.node.append(record).await.expect("appended");
-        assert!(self.node.wait_applied(offset, PATIENCE).await);
+        assert!(self.node.wait_applied(offset, WAIT_TIMEOUT).await);
         offset
     }
 
@@ -142,7 +142,7 @@
         })
     }
 
-    pub fn admits(&self, key: &str) -> bool {
+    pub fn accepts_key(&self, key: &str) -> bool {
         let digest = KeyDigest::with_key(key);
         self.node
             .with_view(|view| view.key_organisation(&digest).is_some())
@@ -184,9 +184,9 @@
     }
 }
 
-/// Waits until `holds` does; fails after [`PATIENCE`].
+/// Waits until `holds` returns true; fails after [`WAIT_TIMEOUT`].
 #[track_caller]
-pub fn until<Holds>(what: &str, holds: Holds) -> impl Future<Output = ()>
+pub fn wait_until<Holds>(what: &str, holds: Holds) -> impl Future<Output = ()>
 where
     Holds: Fn() -> bool,
 {
@@ -198,62 +198,70 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        let waited = tokio::time::timeout(PATIENCE.as_duration(), waiting).await;
-        assert!(waited.is_ok(), "{place}: not seen: {what}");
+        let waited = tokio::time::timeout(WAIT_TIMEOUT.as_duration(), waiting).await;
+        assert!(
+            waited.is_ok(),
+            "{place}: not seen within {WAIT_TIMEOUT}: {what}"
+        );
     }
 }
 
-/// A path between two instances that can lose track of the connections it
-/// carries: they stay open and carry nothing, while new ones work.
-pub struct SilentPath {
+/// A TCP proxy between two instances that can stall the connections it forwards:
+/// they stay open but carry no more data, while new connections work.
+pub struct StallingProxy {
     pub address: SocketAddr,
     target: std::sync::Arc<std::sync::Mutex<Option<SocketAddr>>>,
-    era: tokio::sync::watch::Sender<u64>,
+    generation: tokio::sync::watch::Sender<u64>,
 }
 
-impl SilentPath {
-    pub async fn start() -> SilentPath {
+impl StallingProxy {
+    pub async fn start() -> StallingProxy {
         let listener = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await;
         let listener = listener.expect("a free port");
-        let path = SilentPath {
+        let proxy = StallingProxy {
             address: listener.local_addr().expect("bound"),
             target: Default::default(),
-            era: tokio::sync::watch::Sender::new(0),
+            generation: tokio::sync::watch::Sender::new(0),
         };
-        let (target, era) = (path.target.clone(), path.era.clone());
+        let (target, generation) = (proxy.target.clone(), proxy.generation.clone());
         tokio::spawn(async move {
             while let Ok((inner, _)) = listener.accept().await {
-                let target = *target.lock().expect("no holder panics");
+                let target = *target
+                    .lock()
+                    .expect("no thread panics while it holds the lock");
                 let Some(target) = target else { continue };
                 let Ok(outer) = tokio::net::TcpStream::connect(target).await else {
                     continue;
                 };
-                tokio::spawn(carry(inner, outer, era.subscribe()));
+                tokio::spawn(forward(inner, outer, generation.subscribe()));
             }
         });
-        path
+        proxy
     }
 
-    pub fn lead_to(&self, target: SocketAddr) {
-        *self.target.lock().expect("no holder panics") = Some(target);
+    pub fn set_target(&self, target: SocketAddr) {
+        *self
+            .target
+            .lock()
+            .expect("no thread panics while it holds the lock") = Some(target);
     }
 
-    pub fn silence(&self) {
-        self.era.send_modify(|era| *era += 1);
+    pub fn stall_connections(&self) {
+        self.generation.send_modify(|generation| *generation += 1);
     }
 }
 
-async fn carry(
+async fn forward(
     mut inner: tokio::net::TcpStream,
     mut outer: tokio::net::TcpStream,
-    mut era: tokio::sync::watch::Receiver<u64>,
+    mut generation: tokio::sync::watch::Receiver<u64>,
 ) {
-    let lost = tokio::select! {
+    let stalled = tokio::select! {
         _ = tokio::io::copy_bidirectional(&mut inner, &mut outer) => false,
-        _ = era.changed() => true,
+        _ = generation.changed() => true,
     };
-    if lost {
-        // Both ends stay open and hear nothing.
+    if stalled {
+        // Keeps both connections open without forwarding data.
         std::future::pending::<()>().await;
     }
 }
