--- a/crates/ingress/src/forward/generate.rs
+++ b/crates/ingress/src/forward/generate.rs
@@ -396,7 +396,7 @@
             }
             SendOutcome::TimedOut => {
                 self.note_possible_run(&target.id);
-                let detail = format!("run at {}: no answer within {remaining}", target.id);
+                let detail = format!("run at {}: no answer in time", target.id);
                 Err(FailedAttempt::new(RefusalReason::TimedOut, detail))
             }
         }
--- a/crates/ingress/src/forward/plain.rs
+++ b/crates/ingress/src/forward/plain.rs
@@ -149,7 +149,7 @@
             }
             SendOutcome::TimedOut => {
                 guard.failed();
-                let detail = format!("{}: no answer within {timeout}", target.id);
+                let detail = format!("{}: no answer in time", target.id);
                 self.note_possible_run(RefusalReason::TimedOut, detail)
             }
             SendOutcome::Answered(answer) => {
